--- a/src/relay/send-statement.ts
+++ b/src/relay/send-statement.ts
@@ -1,5 +1,6 @@
 /**
- * Sends one statement of a session over a pooled connection that first takes on the session's state.
+ * Sends one statement of a session over a pooled connection, after applying the session's values and
+ * preparing the statement on that connection where needed.
  *
  * @packageDocumentation
  */
@@ -8,23 +9,24 @@
 import type { SessionLink, SessionValues } from './session-link.js';
 import type { PreparedShape } from './statement.js';
 
-/** A statement that a member runs, with its prepared shape already looked up. */
+/** A statement as sent to a member, with the prepared statement already resolved by name. */
 export type SessionStatement =
   | { readonly kind: 'plain'; readonly payload: string }
   | { readonly kind: 'prepared'; readonly prepared: PreparedShape; readonly operands: string };
 
-/** An answer, and the time at which the statement was sent. */
+/** A reply, and the time at which the statement was sent. */
 export interface TimedReply {
   readonly reply: MemberReply;
-  /** Monotonic milliseconds. */
+  /** In monotonic milliseconds. */
   readonly sentAtMs: number;
 }
 
 /**
  * Sends a statement.
  *
- * @param mayStillSend - asked right before the statement leaves; a reason keeps it from being sent
- * @returns the answer, or the reason why it was not sent
+ * @param after - position that the member must have reached to run the statement; `null` for none
+ * @param checkBeforeSend - called right before the statement is sent; a returned reason prevents sending
+ * @returns the reply, or the reason why the statement was not sent
  * @throws LinkLostError
  */
 export async function sendStatement(
@@ -33,14 +35,14 @@
   requestId: string,
   values: SessionValues,
   after: Position | null,
-  mayStillSend: () => string | null,
+  checkBeforeSend: () => string | null,
 ): Promise<TimedReply | string> {
   const [, request] = await Promise.all([
     link.adoptValues(values),
     toMemberRequest(link, statement, requestId, after),
   ]);
-  const obstacle = mayStillSend();
-  if (obstacle !== null) return obstacle;
+  const notSentReason = checkBeforeSend();
+  if (notSentReason !== null) return notSentReason;
   const sentAtMs = performance.now();
   const reply = await link.send(request);
   if (!reply.result.isComplete && reply.result.code === 'unknown_name') link.close();
--- a/src/relay/statement.ts
+++ b/src/relay/statement.ts
@@ -1,5 +1,6 @@
 /**
- * Statements of a session, typed by what they do. Payloads are opaque: only an adapter reads or writes them.
+ * Statements of a session, typed by their effect. Payloads are opaque: only a protocol adapter parses or
+ * formats them.
  *
  * @packageDocumentation
  */
@@ -16,14 +17,14 @@
   | { readonly kind: 'execute'; readonly name: string; readonly operands: string }
   | { readonly kind: 'deallocate'; readonly name: string };
 
-/** What a prepared name stands for. */
+/** A prepared statement. */
 export interface PreparedShape {
   readonly isWrite: boolean;
-  /** The shape, opaque. */
+  /** Statement text without its operands, opaque. */
   readonly shape: string;
 }
 
-/** A statement with the identifier that its client gave it. */
+/** A statement with the request identifier assigned by the client. */
 export interface ClientRequest {
   readonly requestId: string;
   readonly statement: Statement;
