--- a/src/relay/commit-proof.test.ts
+++ b/src/relay/commit-proof.test.ts
@@ -1,8 +1,9 @@
 /**
- * Answers to commits that find no evidence of the leader.
+ * Answers to commits that arrive without valid evidence for the leader.
  *
- * Users saw confirmed commits undone by a promotion: daemons that had let go of the leader, or whose evidence had lapsed, went on confirming
- * what it answered, on the word of replicas that the promotion did not count.
+ * Guards against acknowledged commits that a promotion undoes. Daemons that had revoked their evidence, or
+ * whose evidence had expired, went on acknowledging commits that the leader answered, though the only
+ * replicas that held them were not counted by the promotion.
  *
  * @packageDocumentation
  */
@@ -18,21 +19,22 @@
 
 const TERM = 3;
 const POSITION = { term: TERM, index: 7 };
-/** Time of a request, in milliseconds. */
+/** Time-out of a request, in milliseconds. */
 const TIMEOUT_MS = 150;
 
 interface Scene {
   readonly group: MemberGroup;
-  readonly proven: Promise<boolean>;
-  /** Decisions that were told. */
-  readonly told: string[];
+  /** Result of {@link proveCommit}. */
+  readonly proof: Promise<boolean>;
+  /** Decisions that were reported to the observer. */
+  readonly decisions: string[];
 }
 
-/** A group whose evidence was gathered so long ago, and the answer to a commit. */
-function answered(evidenceAgeMs = EVIDENCE_MS): Scene {
+/** Answers a commit in a group whose evidence has the given age. */
+function answerCommit(evidenceAgeMs = EVIDENCE_MS): Scene {
   const group = new MemberGroup('g');
   const now = performance.now();
-  const told: string[] = [];
+  const decisions: string[] = [];
   group.evidence.believe({ memberId: 'm', term: TERM });
   group.evidence.witness(TERM, 0, now - evidenceAgeMs);
   const context: RelayContext = {
@@ -40,7 +42,7 @@
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: { ...QUIET_OBSERVER, notable: ({ decision }) => void told.push(decision) },
+    observer: { ...QUIET_OBSERVER, notable: ({ decision }) => void decisions.push(decision) },
     group: () => group,
     now: () => performance.now(),
     plannedStop: () => null,
@@ -48,40 +50,40 @@
     suspect: () => undefined,
   };
   const commit = { requestId: 'x', group, position: POSITION, deadlineMs: now + TIMEOUT_MS };
-  return { group, proven: proveCommit(context, commit), told };
+  return { group, proof: proveCommit(context, commit), decisions };
 }
 
-test('a commit that is answered with evidence is acknowledged at once, and nothing is told of it', async () => {
-  const { group, proven, told } = answered(0);
-  assert.ok(await proven);
+test('a commit that is answered with evidence is acknowledged at once, and no decision is reported', async () => {
+  const { group, proof, decisions } = answerCommit(0);
+  assert.ok(await proof);
   assert.deepEqual(group.acknowledged.latest, POSITION);
-  assert.deepEqual(told, []);
+  assert.deepEqual(decisions, []);
 });
 
 describe('a commit that is answered without evidence of the leader', () => {
   test('is acknowledged once there is evidence again', async () => {
-    const { group, proven, told } = answered();
+    const { group, proof, decisions } = answerCommit();
     assert.deepEqual(group.acknowledged.latest.index, 0);
     group.evidence.witness(TERM, 0, performance.now());
     group.changed.notify();
-    assert.ok(await proven);
+    assert.ok(await proof);
     assert.deepEqual(group.acknowledged.latest, POSITION);
-    assert.deepEqual(told, ['commit_held']);
+    assert.deepEqual(decisions, ['commit_held']);
   });
 
   test('is in doubt as soon as a later term leads', async () => {
-    const { group, proven } = answered();
+    const { group, proof } = answerCommit();
     const startedMs = performance.now();
     group.evidence.believe({ memberId: 'n', term: TERM + 1 });
     group.changed.notify();
-    assert.ok(!(await proven));
+    assert.ok(!(await proof));
     assert.ok(performance.now() - startedMs < TIMEOUT_MS);
     assert.equal(group.acknowledged.latest.index, 0);
   });
 
   test('is in doubt when the time of the request is over', async () => {
-    const { group, proven } = answered();
-    assert.ok(!(await proven));
+    const { group, proof } = answerCommit();
+    assert.ok(!(await proof));
     assert.equal(group.acknowledged.latest.index, 0);
   });
 });
--- a/src/relay/commit-proof.ts
+++ b/src/relay/commit-proof.ts
@@ -1,9 +1,10 @@
 /**
- * Holds back the answer to a commit until it is proven that a promotion counts it.
+ * Holds back the answer to a commit until it is proven that any promotion takes the commit into account.
  *
- * A leader may answer a commit though it is being replaced: on the word of a replica that whoever promotes does not know, or that has
- * lost its pause. An answer that finds no evidence of the leader waits for it; where another term leads by then, or the time of
- * the request is over, the commit is in doubt.
+ * A leader can answer a commit while it is being replaced: the replica that acknowledged the commit may be
+ * unknown to the daemon that runs the promotion, or may have lost its pause. An answer that arrives without
+ * valid evidence for the leader is held until there is evidence again. If a later term leads by then, or the
+ * request times out, the commit is in doubt.
  *
  * @packageDocumentation
  */
@@ -12,8 +13,8 @@
 import type { MemberGroup } from '../topology/member-group.js';
 import type { RelayContext } from './relay-context.js';
 
-/** Longest time between two looks at the evidence, in milliseconds. */
-const LOOK_MS = 50;
+/** Longest interval between two checks of the evidence, in milliseconds. */
+const EVIDENCE_POLL_MS = 50;
 
 /** A commit that a leader has answered. */
 export interface AnsweredCommit {
@@ -23,25 +24,28 @@
   readonly deadlineMs: number;
 }
 
-/** True once the commit may be acknowledged, and is noted as such; false when it is in doubt. */
+/**
+ * Resolves to true once the commit may be acknowledged, and records it as acknowledged; to false when it is
+ * in doubt.
+ */
 export async function proveCommit(context: RelayContext, commit: AnsweredCommit): Promise<boolean> {
   const { group, position, deadlineMs } = commit;
   const answeredAtMs = context.now();
   let standing = group.acknowledge(position, answeredAtMs);
   if (standing === 'proven') return true;
   for (let now = answeredAtMs; standing === 'unproven' && now < deadlineMs; now = context.now()) {
-    await group.changed.wait(Math.min(LOOK_MS, deadlineMs - now));
+    await group.changed.wait(Math.min(EVIDENCE_POLL_MS, deadlineMs - now));
     standing = group.acknowledge(position, context.now());
   }
-  tellHeld(context, commit, standing, context.now() - answeredAtMs);
+  reportDelayedCommit(context, commit, standing, context.now() - answeredAtMs);
   return standing === 'proven';
 }
 
-function tellHeld(
+function reportDelayedCommit(
   context: RelayContext,
   { requestId, group, position }: AnsweredCommit,
   standing: CommitStanding,
-  heldMs: number,
+  delayMs: number,
 ): void {
   context.observer.notable({
     requestId,
@@ -49,6 +53,6 @@
     group: group.name,
     position: formatPosition(position),
     standing,
-    heldMs: Math.round(heldMs),
+    heldMs: Math.round(delayMs),
   });
 }
