--- a/src/relay/cut-request.ts
+++ b/src/relay/cut-request.ts
@@ -1,32 +1,32 @@
 /**
- * What the client of a request is told that is ended before its answer is there. Pure.
+ * The refusal of a request that is interrupted before its answer arrives. Pure.
  *
  * @packageDocumentation
  */
 import { Refusal } from './refusal.js';
 import type { Statement } from './statement.js';
 
-/** What is known of a request when it is cut. */
-export interface CutRequest {
+/** State of a request when it is interrupted. */
+export interface InterruptedRequest {
   readonly kind: Statement['kind'];
-  /** For a prepared statement, whether it writes; else what the kind says. */
+  /** True for a write and for the execution of a prepared write. */
   readonly isWrite: boolean;
-  /** A member has been sent it. */
+  /** The request has been sent to a member. */
   readonly wasSent: boolean;
   readonly isInTransaction: boolean;
-  /** Its transaction has written. */
+  /** A write has been sent in its transaction. */
   readonly hasWritten: boolean;
 }
 
-/** Advice to a client whose request another daemon can serve at once, in milliseconds. */
+/** Retry delay for a client whose request another daemon can serve at once, in milliseconds. */
 export const ELSEWHERE_RETRY_AFTER_MS = 0;
 
 /**
- * The final answer. A transaction whose commit was not sent is rolled back with its connection; what a member has been sent
- * outside of one, and a commit of writes, may have taken effect.
+ * The final answer. A transaction whose commit was not sent is rolled back when its connection closes. A
+ * commit of writes that was sent, and a statement that was sent outside a transaction, may have taken effect.
  */
-export function refusalOfCut(
-  { kind, isWrite, wasSent, isInTransaction, hasWritten }: CutRequest,
+export function refusalOfInterrupted(
+  { kind, isWrite, wasSent, isInTransaction, hasWritten }: InterruptedRequest,
   reason: string,
 ): Refusal {
   const isInDoubt = wasSent && (isInTransaction ? kind === 'commit' && hasWritten : isWrite);
--- a/src/relay/lead-proof.ts
+++ b/src/relay/lead-proof.ts
@@ -1,9 +1,11 @@
 /**
- * Whether an answer is of the life that leads, and not of a process that has started again under the leader's id.
+ * Checks that an answer came from the leader itself, and not from a process that has restarted under the
+ * leader's id.
  *
- * Evidence names an id and a term. Connections are opened to an address, and the directory tells of a next life some milliseconds
- * after it can be connected to. What the leader has said that it holds tells its life from the next one, which lacks it; where it has said
- * nothing, or that its log is empty, an empty next life would pass for it.
+ * Leadership evidence names a member id and a term, while connections are opened to an address. The directory
+ * announces a restarted process (a new incarnation) some milliseconds after it accepts connections. A
+ * restarted process has lost its log, so it lacks the position that the leader has reported. When the leader
+ * has reported no position, or an empty log, an empty restarted process could be mistaken for the leader.
  *
  * @packageDocumentation
  */
@@ -13,56 +15,65 @@
 import type { RelayContext } from './relay-context.js';
 import type { SessionLink } from './session-link.js';
 
-/** Longest wait for the word of a member that its log is empty and that it leads, in milliseconds. */
-const STATUS_MS = 200;
+/** Time-out of the status request to a member with an empty log, in milliseconds. */
+const STATUS_TIMEOUT_MS = 200;
 
-/** True for a position that only a process can have reached that holds something. */
-export function tellsLife(position: Position | null): boolean {
+/** True for a position that only a process with a non-empty log can have reached. */
+export function isNonEmptyLog(position: Position | null): boolean {
   return position !== null && position.index > 0;
 }
 
-/** True while there is evidence that this member leads this very term. */
-export function isStillLed(context: RelayContext, group: MemberGroup, { memberId, term }: Leader): boolean {
+/** True while there is valid evidence that this member leads this term. */
+export function isStillLeader(
+  context: RelayContext,
+  group: MemberGroup,
+  { memberId, term }: Leader,
+): boolean {
   const leader = group.evidence.current(context.now());
   return leader?.memberId === memberId && leader.term === term;
 }
 
 /**
- * True when whoever answered over a connection, though it was asked for no position that would tell, is the leader.
+ * True when the process at the other end of a connection is the leader. Needed for answers to requests that
+ * named no position which would distinguish the leader from a restarted process.
  *
- * While there is evidence of the lead nobody has been promoted, so a next life has received nothing: one that holds something is the leader, or
- * has its whole log. An empty one is asked for its role: a next life leads nothing.
+ * While there is valid evidence for the leader, no other member has been promoted, so a restarted process has
+ * received nothing: a process with a non-empty log is the leader, or has its whole log. A process with an
+ * empty log is asked for its role, since a restarted process does not lead.
  *
- * @param position - what it has given as its own
+ * @param position - the position that the process gave in its answer
  */
-export async function isLeadersLife(
+export async function verifyLeaderIncarnation(
   context: RelayContext,
   group: MemberGroup,
   leader: Leader,
   link: SessionLink,
   position: Position | null,
 ): Promise<boolean> {
-  if (!isStillLed(context, group, leader)) return false;
-  if (tellsLife(position)) return true;
-  const overdue = setTimeout(() => link.close(), STATUS_MS);
+  if (!isStillLeader(context, group, leader)) return false;
+  if (isNonEmptyLog(position)) return true;
+  const statusTimer = setTimeout(() => link.close(), STATUS_TIMEOUT_MS);
   try {
     const status = context.readStatus(await link.send({ kind: 'status' }));
-    const leads = status?.isPrimary === true && status.term === leader.term;
-    return leads && isStillLed(context, group, leader);
+    const isLeader = status?.isPrimary === true && status.term === leader.term;
+    return isLeader && isStillLeader(context, group, leader);
   } catch {
     return false;
   } finally {
-    clearTimeout(overdue);
+    clearTimeout(statusTimer);
   }
 }
 
-/** Takes the position of an answer of the leader as a floor, if there is still evidence that it leads. */
-export function recordFloor(
+/**
+ * Records the position from an answer of the leader as a read floor, if there is still valid evidence that it
+ * leads.
+ */
+export function recordLeaderPosition(
   context: RelayContext,
   group: MemberGroup,
   leader: Leader,
   sentAtMs: number,
   position: Position | null,
 ): void {
-  if (position !== null && isStillLed(context, group, leader)) group.recordLed(sentAtMs, position, leader);
+  if (position !== null && isStillLeader(context, group, leader)) group.recordLed(sentAtMs, position, leader);
 }
--- a/src/relay/read-runner.ts
+++ b/src/relay/read-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a single read: chooses a member, goes elsewhere when it is refused or lost, asks a second member when the
- * first is slow.
+ * Runs a read outside a transaction: selects a member, retries at another one when the read is refused or its
+ * connection is lost, and sends a hedged request to a second member when the first is slow.
  *
  * @packageDocumentation
  */
@@ -12,7 +12,7 @@
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import { alternatives, selectReadMember, type ReadCandidate } from '../topology/select-member.js';
 import { dueAt, type LinkDemand } from './link-queue.js';
-import { isLeadersLife, recordFloor, tellsLife } from './lead-proof.js';
+import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './lead-proof.js';
 import { LinkWait, type Grant, type WaitingPlace } from './link-wait.js';
 import {
   DialError,
@@ -21,29 +21,29 @@
   type MemberErrorCode,
   type MemberReply,
 } from './member-link.js';
-import { shouldAskElsewhere } from './patience.js';
+import { shouldRefuseEarly } from './early-refusal.js';
 import { Refusal } from './refusal.js';
 import { LATE_ANSWER_MS, RETRY_AFTER_MS, RETRY_PAUSE_MS, type RelayContext } from './relay-context.js';
 import type { SessionLink, SessionValues } from './session-link.js';
 import { sendStatement, type SessionStatement } from './send-statement.js';
 
-/** A read to be run, or a transaction that only reads. */
+/** A read to be run. */
 export interface ReadJob {
   readonly requestId: string;
   readonly statement: SessionStatement;
   readonly route: Route;
   readonly group: MemberGroup;
-  /** Name of the tenant that members are told. */
+  /** Tenant name that is passed to members. */
   readonly tenantName: string;
   readonly values: SessionValues;
-  /** What the session itself has committed, or `null`. */
+  /** Read floor set by the session's own commits, or `null`. */
   readonly sessionFloor: ReadFloor | null;
-  /** When the first byte of the request may have been sent at the latest, in monotonic milliseconds. */
+  /** Latest time at which the first byte of the request may have been sent, in monotonic milliseconds. */
   readonly receivedAtMs: number;
   readonly deadlineMs: number;
 }
 
-/** How one attempt ended, and at which members. */
+/** Outcome of one attempt, and the members it concerns. */
 type Attempt =
   | { readonly kind: 'reply'; readonly reply: MemberReply }
   | {
@@ -58,37 +58,39 @@
       readonly members: Iterable<Member>;
     };
 
-/** An attempt under way: it waits for a connection at some members, then for the answer of one. */
-interface Asking {
+/**
+ * An attempt in progress: it waits for a connection to one of several members, then for that member's answer.
+ */
+interface PendingAttempt {
   readonly wait: LinkWait<Member>;
-  /** Since when the answer is waited for, in monotonic milliseconds; `null` while a connection is. */
+  /** When the read was sent, in monotonic milliseconds; `null` while waiting for a connection. */
   sentAtMs: number | null;
 }
 
-/** Share of the target latency after which a second member is asked. */
+/** Share of the target latency after which a hedged request is sent to a second member. */
 const HEDGE_SHARE = 0.6;
 
-/** Time added to a staleness bound for the way of the request to the daemon, in milliseconds. */
+/** Part of the staleness bound reserved for the transit of the request to the daemon, in milliseconds. */
 const STALENESS_MARGIN_MS = 60;
 
-/** A time that is longer than any request, in milliseconds. */
-const NEVER_MS = 60_000;
+/** Hedge delay that is longer than any request, in milliseconds: no further attempt is started. */
+const NO_HEDGE_MS = 60_000;
 
-const ANSWERED = 'answered by another member';
-const UNPROVEN = 'no evidence of the leader';
+const ANSWERED_ELSEWHERE = 'answered by another member';
+const NO_LEADER_EVIDENCE = 'no valid evidence for the leader';
 
-/** Most members asked at once. */
+/** Limit on concurrent attempts of one read. */
 const MAX_PARALLEL = 2;
 
 const NOT_RUN_CODES: ReadonlySet<MemberErrorCode> = new Set(['busy', 'behind', 'read_only']);
 
-/** Times that a read is run and fails before its client is told. */
+/** Failed runs of a read after which the failure is returned to the client. */
 const MAX_FAILURES = 3;
 
-/** Run, to no effect: a read may be asked of another member. */
+/** Codes of a read that ran and failed; since reads have no effect, another member may be tried. */
 const FAILED_CODES: ReadonlySet<MemberErrorCode> = new Set(['failed', 'timed_out', 'other']);
 
-/** What a replica has to hold for a read, or `null` when only the leader will do. */
+/** Position that a replica must have reached to serve a read, or `null` when only the leader may serve it. */
 export function readFloor(
   group: MemberGroup,
   route: Route,
@@ -103,8 +105,9 @@
 }
 
 /**
- * The members of a group as candidates for a read. A leader without valid evidence counts as a replica: it may have been
- * replaced, but its log holds every commit up to the floor of the read, which was taken from a proven leader.
+ * The members of a group as candidates for a read. A leader without valid evidence is treated as a replica:
+ * it may have been replaced, but its log holds every commit up to the floor of the read, which was taken from
+ * a proven leader.
  */
 export function readCandidates(
   context: RelayContext,
@@ -131,8 +134,10 @@
   return candidates;
 }
 
-/** Takes what an answer says of how far a member is: where its log stands, and whether it held the floor of a read. */
-export function recordReplica(
+/**
+ * Records a member's log position from an answer, and whether the member had reached the floor of the read.
+ */
+export function recordReplicaProgress(
   member: Member,
   floor: ReadFloor | null,
   { position, result }: MemberReply,
@@ -144,35 +149,34 @@
   else if (result.code === 'behind') member.recordFloor(floor, false, nowMs);
 }
 
-/** Runs one read. */
 export class ReadRunner {
   readonly #excluded = new Set<string>();
-  /** Members to which no connection could be opened in this round. */
+  /** Members to which no connection could be opened since the exclusions were last cleared. */
   readonly #unreachable = new Set<string>();
-  readonly #pending = new Set<Asking>();
-  /** Attempts that have ended and were not looked at yet. */
-  readonly #ended: Attempt[] = [];
+  readonly #pending = new Set<PendingAttempt>();
+  /** Attempts that have ended and are not processed yet. */
+  readonly #endedAttempts: Attempt[] = [];
   readonly #attemptEnded = new ChangeSignal();
   #isSettled = false;
   #isAbandoned = false;
-  /** Attempts that a member has been sent, and has not refused as not run. */
-  #mayHaveRun = 0;
+  /** Number of attempts that were sent to a member and not refused as not run. */
+  #possiblyRunCount = 0;
   #lastReason = 'no member can serve';
-  /** The answer of a member that ran the read and failed: the last word if no other has a better one. */
-  #failure: MemberReply | null = null;
-  #failures = 0;
+  /** Answer of a member that ran the read and failed; returned when no other member succeeds. */
+  #failedReply: MemberReply | null = null;
+  #failureCount = 0;
 
   constructor(
     private readonly context: RelayContext,
     private readonly job: ReadJob,
   ) {}
 
-  /** True once a member has been sent the statement, unless all that were have refused it as not run. */
+  /** True once the statement has been sent to a member, unless every such attempt was refused as not run. */
   get wasSent(): boolean {
-    return this.#mayHaveRun > 0;
+    return this.#possiblyRunCount > 0;
   }
 
-  /** Sends nothing more. */
+  /** Abandons the read: nothing more is sent. */
   abandon(): void {
     this.#isSettled = true;
     this.#isAbandoned = true;
@@ -181,7 +185,7 @@
   }
 
   /**
-   * The answer of the first member that has one.
+   * Returns the first answer that is not worth retrying at another member.
    *
    * @throws {@link Refusal}
    */
@@ -197,23 +201,23 @@
   async #run(): Promise<MemberReply> {
     for (;;) {
       const remaining = this.job.deadlineMs - this.context.now();
-      if (remaining <= 0 || this.#isAbandoned) return this.#giveUp();
-      if (this.#ended.length === 0) this.#launch();
-      if (this.#pending.size === 0 && this.#ended.length === 0) {
-        if (this.#failure !== null && this.#failures >= MAX_FAILURES) return this.#failure;
-        if (this.#shouldAskElsewhere()) return this.#giveUp();
+      if (remaining <= 0 || this.#isAbandoned) return this.#resultWithoutAnswer();
+      if (this.#endedAttempts.length === 0) this.#scheduleAttempt();
+      if (this.#pending.size === 0 && this.#endedAttempts.length === 0) {
+        if (this.#failedReply !== null && this.#failureCount >= MAX_FAILURES) return this.#failedReply;
+        if (this.#shouldRefuseEarly()) return this.#resultWithoutAnswer();
         this.#excluded.clear();
         this.#unreachable.clear();
         await this.job.group.changed.wait(Math.min(RETRY_PAUSE_MS, remaining));
         continue;
       }
-      const attempt = await this.#next(remaining);
+      const attempt = await this.#nextEndedAttempt(remaining);
       if (attempt === null) continue;
       if (attempt.kind === 'reply') return attempt.reply;
       if (attempt.kind === 'failed') {
-        this.#failure = attempt.reply;
-        this.#failures += 1;
-        if (this.#failures >= MAX_FAILURES) return attempt.reply;
+        this.#failedReply = attempt.reply;
+        this.#failureCount += 1;
+        if (this.#failureCount >= MAX_FAILURES) return attempt.reply;
       }
       this.#lastReason = attempt.reason;
       const members = [...attempt.members].map(({ entry }) => entry.memberId);
@@ -228,27 +232,30 @@
     }
   }
 
-  /** The next attempt that ends; `null` when it is time to look again. */
-  async #next(remainingMs: number): Promise<Attempt | null> {
-    if (this.#ended.length === 0) {
-      const lookMs = Math.min(Math.max(1, this.#hedgeInMs()), remainingMs);
-      const isWaiting = this.#waiting() !== null;
-      const ends = [this.#attemptEnded.wait(lookMs)];
-      if (isWaiting) ends.push(this.job.group.changed.wait(lookMs));
-      await Promise.race(ends);
+  /**
+   * Waits for the next attempt to end; `null` when a hedged request may be due, the group has changed or time
+   * is up.
+   */
+  async #nextEndedAttempt(remainingMs: number): Promise<Attempt | null> {
+    if (this.#endedAttempts.length === 0) {
+      const waitMs = Math.min(Math.max(1, this.#hedgeDelayMs()), remainingMs);
+      const isWaiting = this.#attemptInQueue() !== null;
+      const wakeUps = [this.#attemptEnded.wait(waitMs)];
+      if (isWaiting) wakeUps.push(this.job.group.changed.wait(waitMs));
+      await Promise.race(wakeUps);
     }
-    return this.#ended.shift() ?? null;
+    return this.#endedAttempts.shift() ?? null;
   }
 
-  /** True when no member can serve now, and another daemon may know one that can. */
-  #shouldAskElsewhere(): boolean {
+  /** True when no member can serve the read now and the client should retry at another daemon. */
+  #shouldRefuseEarly(): boolean {
     const { context, job } = this;
     const now = context.now();
     const isLeaderOnly = job.route.consistency === 'primary';
     const candidates = readCandidates(context, job.group, null).filter(
       ({ isLeader }) => isLeader || !isLeaderOnly,
     );
-    return shouldAskElsewhere({
+    return shouldRefuseEarly({
       heldMs: now - job.receivedAtMs,
       timeoutMs: job.route.timeoutMs,
       leaderlessMs: job.group.leaderlessMs(now),
@@ -258,25 +265,26 @@
     });
   }
 
-  /** Time until a second member may be asked, in milliseconds; 0 when it may be now. */
-  #hedgeInMs(): number {
+  /** Time until the next attempt may be started, in milliseconds; 0 when it may be started now. */
+  #hedgeDelayMs(): number {
     if (this.#pending.size === 0) return 0;
-    if (this.#pending.size >= MAX_PARALLEL) return NEVER_MS;
+    if (this.#pending.size >= MAX_PARALLEL) return NO_HEDGE_MS;
     const now = this.context.now();
     const hedgeMs = this.job.route.targetLatencyMs * HEDGE_SHARE;
-    const sentAtMs = Math.max(...[...this.#pending].map((asking) => asking.sentAtMs ?? now));
+    const sentAtMs = Math.max(...[...this.#pending].map((pending) => pending.sentAtMs ?? now));
     return Math.max(0, sentAtMs + hedgeMs - now);
   }
 
-  /** The attempt that waits for a connection, or `null`. */
-  #waiting(): Asking | null {
-    for (const asking of this.#pending) if (asking.wait.isWaiting) return asking;
+  /** The attempt that is waiting for a connection, or `null`. */
+  #attemptInQueue(): PendingAttempt | null {
+    for (const pending of this.#pending) if (pending.wait.isWaiting) return pending;
     return null;
   }
 
-  #launch(): void {
-    const waiting = this.#waiting();
-    if (waiting === null && this.#hedgeInMs() > 0) return;
+  /** Starts an attempt if one is due, or adds members to the attempt that is waiting for a connection. */
+  #scheduleAttempt(): void {
+    const waiting = this.#attemptInQueue();
+    if (waiting === null && this.#hedgeDelayMs() > 0) return;
     const { group, route, sessionFloor, receivedAtMs } = this.job;
     const floor = readFloor(group, route, sessionFloor, receivedAtMs);
     const excluded = new Set(this.#excluded);
@@ -290,26 +298,26 @@
       ({ memberId }) => group.members.get(memberId) ?? [],
     );
     if (waiting !== null) {
-      if (!choice.isAvoided) waiting.wait.joinAll(placesOf([member, ...others]));
+      if (!choice.isAvoided) waiting.wait.joinAll(directQueuesOf([member, ...others]));
       return;
     }
     if (this.#pending.size > 0 && (choice.isAvoided || member.pool.isExhausted)) return;
-    this.#ask(member, member.pool.isExhausted ? others : []);
+    this.#startAttempt(member, member.pool.isExhausted ? others : []);
   }
 
-  /** Asks a member, or whichever of the others has a connection free first. */
-  #ask(member: Member, others: readonly Member[]): void {
+  /** Starts an attempt at a member, or at whichever of it and the others has a free connection first. */
+  #startAttempt(member: Member, others: readonly Member[]): void {
     const demand = this.#demand();
     const waitMs = this.job.deadlineMs - this.context.now();
-    const asking: Asking = { wait: new LinkWait<Member>(demand, waitMs), sentAtMs: null };
-    this.#pending.add(asking);
-    void this.#attempt(asking).then((attempt) => {
-      this.#pending.delete(asking);
-      this.#ended.push(attempt);
+    const pending: PendingAttempt = { wait: new LinkWait<Member>(demand, waitMs), sentAtMs: null };
+    this.#pending.add(pending);
+    void this.#attempt(pending).then((attempt) => {
+      this.#pending.delete(pending);
+      this.#endedAttempts.push(attempt);
       this.#attemptEnded.notify();
     });
-    if (member.pool.isDirect) asking.wait.joinAll(placesOf([member, ...others]));
-    else asking.wait.settle(member, () => member.pool.borrow(demand, waitMs));
+    if (member.pool.isDirect) pending.wait.joinAll(directQueuesOf([member, ...others]));
+    else pending.wait.settle(member, () => member.pool.borrow(demand, waitMs));
   }
 
   #demand(): LinkDemand {
@@ -323,8 +331,8 @@
     };
   }
 
-  async #attempt(asking: Asking): Promise<Attempt> {
-    const { wait } = asking;
+  async #attempt(pending: PendingAttempt): Promise<Attempt> {
+    const { wait } = pending;
     let granted: Grant<Member>;
     try {
       granted = await wait.granted;
@@ -335,20 +343,21 @@
     }
     const { link, member } = granted;
     try {
-      return await this.#askOver(link, member, asking);
+      return await this.#sendOver(link, member, pending);
     } finally {
       member.pool.release(link);
     }
   }
 
-  async #askOver(link: SessionLink, member: Member, asking: Asking): Promise<Attempt> {
+  async #sendOver(link: SessionLink, member: Member, pending: PendingAttempt): Promise<Attempt> {
     const { job, context } = this;
     const members = [member];
-    if (this.#isSettled) return { kind: 'not_run', reason: ANSWERED, members };
+    if (this.#isSettled) return { kind: 'not_run', reason: ANSWERED_ELSEWHERE, members };
     const asLeader = job.group.leader(context.now()) === member;
     const leader = asLeader ? job.group.evidence.leader : null;
     const floor = asLeader ? null : readFloor(job.group, job.route, job.sessionFloor, job.receivedAtMs);
-    if (!asLeader && floor === null) return { kind: 'not_run', reason: 'no position of the leader', members };
+    if (!asLeader && floor === null)
+      return { kind: 'not_run', reason: 'no recent position of the leader is known', members };
     context.observer.routine({
       requestId: job.requestId,
       decision: 'read_at',
@@ -357,37 +366,37 @@
       floor: floor === null ? null : formatPosition(floor.position),
       second: this.#pending.size > 1,
     });
-    const overdue = setTimeout(() => link.close(), job.deadlineMs - context.now() + LATE_ANSWER_MS);
+    const deadlineTimer = setTimeout(() => link.close(), job.deadlineMs - context.now() + LATE_ANSWER_MS);
     let isSent = false;
     const after = asLeader ? job.group.heldByLeader : (floor?.position ?? null);
     try {
       const reply = await sendStatement(link, job.statement, job.requestId, job.values, after, () => {
-        if (this.#isSettled) return ANSWERED;
-        if (asLeader && job.group.leader(context.now()) !== member) return UNPROVEN;
+        if (this.#isSettled) return ANSWERED_ELSEWHERE;
+        if (asLeader && job.group.leader(context.now()) !== member) return NO_LEADER_EVIDENCE;
         isSent = true;
-        this.#mayHaveRun += 1;
-        asking.sentAtMs = context.now();
+        this.#possiblyRunCount += 1;
+        pending.sentAtMs = context.now();
         return null;
       });
       if (typeof reply === 'string') return { kind: 'not_run', reason: reply, members };
       const { result, position } = reply.reply;
-      if (leader !== null && result.isComplete && !tellsLife(after)) {
-        const isLeaders = await isLeadersLife(context, job.group, leader, link, position);
-        if (!isLeaders) return { kind: 'lost', reason: 'perhaps another life of the leader', members };
+      if (leader !== null && result.isComplete && !isNonEmptyLog(after)) {
+        const isVerified = await verifyLeaderIncarnation(context, job.group, leader, link, position);
+        if (!isVerified) return { kind: 'lost', reason: 'may be another incarnation of the leader', members };
       }
-      const attempt = this.#judge(member, leader, floor, reply.reply, reply.sentAtMs);
-      if (attempt.kind === 'not_run') this.#mayHaveRun -= 1;
+      const attempt = this.#classifyReply(member, leader, floor, reply.reply, reply.sentAtMs);
+      if (attempt.kind === 'not_run') this.#possiblyRunCount -= 1;
       return attempt;
     } catch (error) {
       const isLost = isSent && !(error instanceof NotSentError);
-      if (isSent && !isLost) this.#mayHaveRun -= 1;
+      if (isSent && !isLost) this.#possiblyRunCount -= 1;
       return { kind: isLost ? 'lost' : 'not_run', reason: `connection lost: ${String(error)}`, members };
     } finally {
-      clearTimeout(overdue);
+      clearTimeout(deadlineTimer);
     }
   }
 
-  #judge(
+  #classifyReply(
     member: Member,
     leader: Leader | null,
     floor: ReadFloor | null,
@@ -399,10 +408,10 @@
     const answerMs = this.context.now() - sentAtMs;
     const members = [member];
     member.trust(this.context.now());
-    recordReplica(member, floor, reply, this.context.now());
+    recordReplicaProgress(member, floor, reply, this.context.now());
     if (asLeader && hasLostLog(reply)) this.context.suspect(group, member, 'lost_log');
     if (asLeader && reply.result.isComplete)
-      recordFloor(this.context, group, leader, sentAtMs, reply.position);
+      recordLeaderPosition(this.context, group, leader, sentAtMs, reply.position);
     member.recordOutcome(!reply.result.isComplete && FAILED_CODES.has(reply.result.code), this.context.now());
     if (reply.result.isComplete) {
       member.recordLatency(answerMs);
@@ -415,15 +424,17 @@
     return { kind: 'reply', reply };
   }
 
-  #giveUp(): MemberReply {
-    if (this.#failure !== null) return this.#failure;
+  #resultWithoutAnswer(): MemberReply {
+    if (this.#failedReply !== null) return this.#failedReply;
     if (this.wasSent)
       throw new Refusal('timed_out', 'may_have_run', `no answer in time: ${this.#lastReason}`);
     throw new Refusal('busy', 'not_run', this.#lastReason, RETRY_AFTER_MS);
   }
 }
 
-/** The pools of members at which a request can wait: those to which this daemon connects itself. */
-function placesOf(members: readonly Member[]): { readonly place: WaitingPlace; readonly member: Member }[] {
+/** The pools in which a request can queue: those of members to which this daemon connects directly. */
+function directQueuesOf(
+  members: readonly Member[],
+): { readonly place: WaitingPlace; readonly member: Member }[] {
   return members.filter(({ pool }) => pool.isDirect).map((member) => ({ place: member.pool.own, member }));
 }
--- a/src/relay/refusal.ts
+++ b/src/relay/refusal.ts
@@ -1,47 +1,48 @@
 /**
- * How a request of a session ends without success, and what its client may conclude.
+ * The refusal of a session's request: why it did not succeed, and whether it may have had an effect.
  *
  * @packageDocumentation
  */
 import type { Verdict } from '../verdict/verdict.js';
 
-/** Reasons that a client is given. */
+/** Refusal codes, as reported to clients. */
 export type RefusalCode =
-  /** Not run; members or connections are short. */
+  /** Not run: no member, connection or quota was available. */
   | 'busy'
-  /** The transaction is rolled back: nothing is kept. */
+  /** The transaction is rolled back. */
   | 'aborted'
   /** A write or commit was sent and its answer was lost. */
   | 'in_doubt'
-  /** The statement's time is over. */
+  /** The statement timed out. */
   | 'timed_out'
-  /** The member ran it and it failed. */
+  /** The member ran the statement and it failed. */
   | 'failed'
   | 'unknown_name'
   | 'unknown_database'
-  /** No tenant holds the caller's key, or none does any more. */
+  /** No tenant holds the caller's key; it may have been revoked. */
   | 'unauthorized'
   | 'malformed'
   | 'too_large';
 
-/** What decided a refusal, for the log: members, terms, ages. */
-export type RefusalInputs = Readonly<Record<string, string | number | boolean | null>>;
+/** Details of a refusal for the log, such as members, terms and ages. */
+export type RefusalDetails = Readonly<Record<string, string | number | boolean | null>>;
 
-/** The final outcome of a request that was refused, given up on or lost. */
+/** Outcome of a request that was refused, that timed out or whose answer was lost. */
 export class Refusal extends Error {
   override readonly name = 'Refusal';
 
   /**
    * @param verdict - whether the request may have had an effect
-   * @param retryAfterMs - when to come back, in milliseconds; `null` when coming back is of no use
-   * @param inputs - what decided it
+   * @param retryAfterMs - delay after which the client should retry, in milliseconds; `null` when retrying is
+   * of no use
+   * @param details - what led to the refusal, for the log
    */
   constructor(
     readonly code: RefusalCode,
     readonly verdict: Verdict,
     reason: string,
     readonly retryAfterMs: number | null = null,
-    readonly inputs: RefusalInputs = {},
+    readonly details: RefusalDetails = {},
   ) {
     super(reason);
   }
--- a/src/relay/session.ts
+++ b/src/relay/session.ts
@@ -1,5 +1,6 @@
 /**
- * One client session: its values, its prepared names, its transaction. Requests are handled one at a time.
+ * One client session: its session values, prepared statements and transaction. Requests are handled one at a
+ * time.
  *
  * @packageDocumentation
  */
@@ -11,7 +12,7 @@
 import type { MemberGroup } from '../topology/member-group.js';
 import type { MemberErrorCode, MemberReply } from './member-link.js';
 import { ReadRunner } from './read-runner.js';
-import { ELSEWHERE_RETRY_AFTER_MS, refusalOfCut } from './cut-request.js';
+import { ELSEWHERE_RETRY_AFTER_MS, refusalOfInterrupted } from './cut-request.js';
 import { Refusal, type RefusalCode } from './refusal.js';
 import { RETRY_AFTER_MS, UNPROVEN_RETRY_AFTER_MS, type RelayContext } from './relay-context.js';
 import type { SessionStatement } from './send-statement.js';
@@ -19,31 +20,31 @@
 import { Transaction, type TransactionStep } from './transaction.js';
 import { WriteRunner } from './write-runner.js';
 
-/** What the client is answered. */
+/** The result sent to the client. */
 export type SessionResult =
-  /** `signature` is the member's, or `null` where the daemon answered by itself. */
+  /** `signature` is the member's, or `null` when the daemon answered without asking a member. */
   | { readonly isComplete: true; readonly rows: readonly string[]; readonly signature: string | null }
   | { readonly isComplete: false; readonly refusal: Refusal };
 
-/** An answer, and the transaction state after it. */
+/** A result and the transaction state after it. */
 export interface SessionReply {
   readonly result: SessionResult;
   readonly state: TransactionState;
 }
 
-/** Prepared names and values that a session may hold, each. */
-const MAX_NAMES = 1000;
+/** Limit on the prepared statements of a session, and likewise on its session values. */
+const MAX_SESSION_NAMES = 1000;
 
-const DONE: SessionResult = { isComplete: true, rows: [], signature: null };
+const EMPTY_SUCCESS: SessionResult = { isComplete: true, rows: [], signature: null };
 
-/** A session's own position, and the group whose log it is in. */
-interface OwnPosition {
+/** Read floor set by the session's own writes and commits, and the group whose log it belongs to. */
+interface LastCommit {
   readonly groupName: string;
   readonly floor: ReadFloor;
 }
 
-/** A statement that is an operation by itself. */
-interface Operation {
+/** A statement outside a transaction. */
+interface StandaloneOperation {
   readonly request: ClientRequest;
   readonly statement: SessionStatement;
   readonly route: Route;
@@ -51,7 +52,7 @@
   readonly tenantName: string;
 }
 
-/** A transaction that the client has begun; no member knows of it until its first statement. */
+/** A transaction that the client has begun; it is opened at a member only with its first statement. */
 interface BeginRequest {
   readonly isReadOnly: boolean;
   readonly receivedAtMs: number;
@@ -60,39 +61,38 @@
   readonly tenantName: string;
 }
 
-/** What runs a statement. */
-interface StatementProgress {
-  /** True once a member has been sent it. */
+/** Runs a statement of the session. */
+interface StatementRunner {
+  /** True once the statement has been sent to a member. */
   readonly wasSent: boolean;
-  /** Its answer is no longer wanted: what was not sent yet never is. */
+  /** Abandons the statement: anything not sent yet is never sent. */
   abandon(): void;
 }
 
-const STOPPING = 'the daemon is stopping';
+const STOPPING_REASON = 'the daemon is stopping';
 
-/** One client session. */
 export class Session {
   readonly #values = new Map<string, string>();
   readonly #prepared = new Map<string, PreparedShape>();
   #state: TransactionState = 'idle';
   #transaction: Transaction | null = null;
   #beginRequest: BeginRequest | null = null;
-  #ownPosition: OwnPosition | null = null;
-  #restTimer: NodeJS.Timeout | null = null;
+  #lastCommit: LastCommit | null = null;
+  #idleTimer: NodeJS.Timeout | null = null;
   #isHandling = false;
-  /** What runs the statement that is being handled; `null` while none is at work for it. */
-  #progress: StatementProgress | null = null;
-  /** Ends the wait for the answer to the present request; `null` while there is none. */
-  #cut: (() => void) | null = null;
+  /** Runs the current statement; `null` while none is running. */
+  #runner: StatementRunner | null = null;
+  /** Interrupts the current request; `null` while there is none. */
+  #interrupt: (() => void) | null = null;
 
-  /** @param key - of the client; `null` when it gave none */
+  /** @param key - digest of the client's API key; `null` when it presented none */
   constructor(
     private readonly context: RelayContext,
     private readonly database: string,
     private readonly key: KeyDigest | null,
   ) {}
 
-  /** Transaction state as the client knows it. */
+  /** Transaction state as last reported to the client. */
   get state(): TransactionState {
     return this.#state;
   }
@@ -102,12 +102,12 @@
     return this.#isHandling;
   }
 
-  /** True when a member has been sent the request that is being handled. */
+  /** True when the current request has been sent to a member. */
   get wasSent(): boolean {
-    return this.#progress?.wasSent ?? false;
+    return this.#runner?.wasSent ?? false;
   }
 
-  /** Why the session may not be opened, or `null`. */
+  /** The refusal when the session may not be opened, or `null`. */
   admit(): Refusal | null {
     const route = this.context.catalog.route(this.database);
     if (route === null) return unknownDatabase(this.database);
@@ -118,56 +118,59 @@
   /** Handles one request; never rejects. */
   async handle(request: ClientRequest): Promise<SessionReply> {
     this.#isHandling = true;
-    this.#stopRestTimer();
+    this.#stopIdleTimer();
     try {
-      const result = await this.#dispatchUntilCut(request);
-      this.#ended(request, 'served');
+      const result = await this.#dispatchInterruptibly(request);
+      this.#observeEnd(request, 'served');
       return { result, state: this.#state };
     } catch (error) {
-      return this.#refused(request, error);
+      return this.#refuse(request, error);
     } finally {
       this.#isHandling = false;
-      this.#progress = null;
-      this.#cut = null;
-      this.#startRestTimer();
+      this.#runner = null;
+      this.#interrupt = null;
+      this.#startIdleTimer();
     }
   }
 
-  /** Ends the request that is being handled with what is known of it. */
+  /** Interrupts the current request; its refusal says what is known of its effect. */
   cut(): void {
-    this.#cut?.();
+    this.#interrupt?.();
   }
 
-  /** The daemon ends the session: what is open is rolled back, and a client that asks meanwhile is told this. */
+  /**
+   * Closes the session because the daemon is stopping: an open transaction is rolled back, and requests that
+   * arrive afterwards get the returned refusal.
+   */
   bidFarewell(): Refusal {
     const code = this.#state === 'idle' ? 'busy' : 'aborted';
     this.close();
     if (this.#state === 'open') this.#state = 'failed';
-    return new Refusal(code, 'not_run', STOPPING, ELSEWHERE_RETRY_AFTER_MS);
+    return new Refusal(code, 'not_run', STOPPING_REASON, ELSEWHERE_RETRY_AFTER_MS);
   }
 
-  /** A request was not understood: an open transaction has failed. */
+  /** Marks an open transaction as failed, after a request that could not be parsed. */
   fail(): void {
     if (this.#state === 'idle') return;
     this.#endTransaction();
     this.#state = 'failed';
   }
 
-  /** The client has gone: what is open is rolled back. */
+  /** Closes the session; an open transaction is rolled back. */
   close(): void {
-    this.#stopRestTimer();
+    this.#stopIdleTimer();
     this.#endTransaction();
   }
 
-  #ended(request: ClientRequest, outcome: string): void {
+  #observeEnd(request: ClientRequest, outcome: string): void {
     const { observer, now } = this.context;
     observer.requestEnded(request.statement.kind, outcome, now() - request.receivedAtMs);
   }
 
-  #refused(request: ClientRequest, error: unknown): SessionReply {
+  #refuse(request: ClientRequest, error: unknown): SessionReply {
     const refusal =
       error instanceof Refusal ? error : new Refusal('timed_out', 'may_have_run', String(error));
-    this.#ended(request, refusal.code);
+    this.#observeEnd(request, refusal.code);
     this.#endTransaction();
     const isEnd = request.statement.kind === 'commit' || request.statement.kind === 'rollback';
     this.#state = this.#state === 'idle' || isEnd ? 'idle' : 'failed';
@@ -181,45 +184,51 @@
       heldMs: Math.round(this.context.now() - request.receivedAtMs),
       database: this.database,
       configuration: this.context.catalog.document?.version,
-      ...refusal.inputs,
+      ...refusal.details,
     });
     return { result: { isComplete: false, refusal }, state: this.#state };
   }
 
-  /** Runs a request; one that is cut meanwhile ends at once, and sends nothing more. */
-  #dispatchUntilCut(request: ClientRequest): Promise<SessionResult> {
+  /** Runs a request; when it is interrupted, it is rejected at once and sends nothing more. */
+  #dispatchInterruptibly(request: ClientRequest): Promise<SessionResult> {
     return new Promise((resolve, reject) => {
-      this.#cut = (): void => {
-        reject(this.#refusalOfCut(request.statement));
-        this.#progress?.abandon();
+      this.#interrupt = (): void => {
+        reject(this.#interruptedRefusal(request.statement));
+        this.#runner?.abandon();
       };
       this.#dispatch(request).then(resolve, reject);
     });
   }
 
-  #refusalOfCut(statement: Statement): Refusal {
+  #interruptedRefusal(statement: Statement): Refusal {
     const prepared = statement.kind === 'execute' ? this.#prepared.get(statement.name) : undefined;
-    const cutRequest = {
+    const interrupted = {
       kind: statement.kind,
       isWrite: statement.kind === 'write' || prepared?.isWrite === true,
       wasSent: this.wasSent,
       isInTransaction: this.#state !== 'idle',
       hasWritten: this.#transaction?.hasWritten ?? false,
     };
-    return refusalOfCut(cutRequest, STOPPING);
+    return refusalOfInterrupted(interrupted, STOPPING_REASON);
   }
 
-  /** Near its end a daemon begins nothing that others can do; commits keep the time that is left for answers. */
-  #requireTime(statement: Statement): void {
+  /**
+   * Refuses a request that arrives late in a planned stop, since other daemons can serve it. Commits and
+   * rollbacks are accepted longer, up to the time at which every request must be answered.
+   */
+  #refuseIfStopping(statement: Statement): void {
     const stop = this.context.plannedStop();
     if (stop === null) return;
     const isEnd = statement.kind === 'commit' || statement.kind === 'rollback';
     if (this.context.now() < (isEnd ? stop.lastAnswerAtMs : stop.lastStatementAtMs)) return;
     const code = this.#state === 'idle' ? 'busy' : 'aborted';
-    throw new Refusal(code, 'not_run', STOPPING, ELSEWHERE_RETRY_AFTER_MS);
+    throw new Refusal(code, 'not_run', STOPPING_REASON, ELSEWHERE_RETRY_AFTER_MS);
   }
 
-  /** When a request has to be answered: by its route's time, and before the daemon ends. */
+  /**
+   * Deadline of a request: the route's time-out, or the last answer time of a planned stop if that is
+   * earlier.
+   */
   #deadlineOf(request: ClientRequest, route: Route): number {
     const lastAnswerAtMs = this.context.plannedStop()?.lastAnswerAtMs ?? Number.POSITIVE_INFINITY;
     return Math.min(request.receivedAtMs + route.timeoutMs, lastAnswerAtMs);
@@ -227,8 +236,8 @@
 
   async #dispatch(request: ClientRequest): Promise<SessionResult> {
     const { statement } = request;
-    if (this.#state === 'failed') return this.#inFailed(statement);
-    this.#requireTime(statement);
+    if (this.#state === 'failed') return this.#handleInFailedTransaction(statement);
+    this.#refuseIfStopping(statement);
     switch (statement.kind) {
       case 'begin':
         return this.#begin(statement.isReadOnly, request.receivedAtMs);
@@ -236,22 +245,22 @@
         if (this.#state === 'idle') throw malformed('no transaction is open');
         this.#endTransaction();
         this.#state = 'idle';
-        return DONE;
+        return EMPTY_SUCCESS;
       case 'commit':
         if (this.#state === 'idle') throw malformed('no transaction is open');
         this.#authorizeInTransaction();
         return this.#commit(request, statement.payload);
       case 'set':
-        requireRoom(this.#values, statement.name);
+        requireCapacity(this.#values, statement.name);
         this.#values.set(statement.name, statement.value);
-        return DONE;
+        return EMPTY_SUCCESS;
       case 'prepare':
-        requireRoom(this.#prepared, statement.name);
+        requireCapacity(this.#prepared, statement.name);
         this.#prepared.set(statement.name, statement.prepared);
-        return DONE;
+        return EMPTY_SUCCESS;
       case 'deallocate':
         this.#prepared.delete(statement.name);
-        return DONE;
+        return EMPTY_SUCCESS;
       case 'read':
         return this.#run(request, { kind: 'plain', payload: statement.payload }, false);
       case 'write':
@@ -261,10 +270,10 @@
     }
   }
 
-  #inFailed(statement: Statement): SessionResult {
+  #handleInFailedTransaction(statement: Statement): SessionResult {
     if (statement.kind === 'rollback') {
       this.#state = 'idle';
-      return DONE;
+      return EMPTY_SUCCESS;
     }
     if (statement.kind === 'commit') throw new Refusal('aborted', 'not_run', 'the transaction has failed');
     throw malformed('the transaction has failed');
@@ -278,7 +287,7 @@
     const { tenantName } = caller;
     this.#beginRequest = { isReadOnly, receivedAtMs, route, group, tenantName };
     this.#state = 'open';
-    return DONE;
+    return EMPTY_SUCCESS;
   }
 
   #execute(request: ClientRequest, name: string, operands: string): Promise<SessionResult> {
@@ -291,13 +300,13 @@
   #run(request: ClientRequest, statement: SessionStatement, isWrite: boolean): Promise<SessionResult> {
     if (this.#state === 'open') {
       this.#authorizeInTransaction();
-      return this.#inTransaction(request, statement, isWrite ? 'write' : 'read');
+      return this.#runInTransaction(request, statement, isWrite ? 'write' : 'read');
     }
-    return this.#single(request, statement, isWrite);
+    return this.#runStandalone(request, statement, isWrite);
   }
 
-  /** A statement that is an operation by itself; one that is not run is not charged. */
-  async #single(
+  /** Runs a statement outside a transaction; its quota charge is refunded when it was not run. */
+  async #runStandalone(
     request: ClientRequest,
     statement: SessionStatement,
     isWrite: boolean,
@@ -307,14 +316,20 @@
     const refund = await this.#charge(caller);
     const operation = { request, statement, route, group, tenantName: caller.tenantName };
     try {
-      return await (isWrite ? this.#singleWrite(operation) : this.#singleRead(operation));
+      return await (isWrite ? this.#standaloneWrite(operation) : this.#standaloneRead(operation));
     } catch (error) {
       if (error instanceof Refusal && error.verdict === 'not_run') refund();
       throw error;
     }
   }
 
-  async #singleRead({ request, statement, route, group, tenantName }: Operation): Promise<SessionResult> {
+  async #standaloneRead({
+    request,
+    statement,
+    route,
+    group,
+    tenantName,
+  }: StandaloneOperation): Promise<SessionResult> {
     const { requestId, receivedAtMs } = request;
     const job = {
       tenantName,
@@ -323,44 +338,50 @@
       route,
       group,
       values: this.#values,
-      sessionFloor: this.#floorIn(group),
+      sessionFloor: this.#sessionFloorFor(group),
       receivedAtMs,
       deadlineMs: this.#deadlineOf(request, route),
     };
     const runner = new ReadRunner(this.context, job);
-    this.#progress = runner;
+    this.#runner = runner;
     return toResult(await runner.run(), false);
   }
 
-  async #singleWrite({ request, statement, route, group, tenantName }: Operation): Promise<SessionResult> {
+  async #standaloneWrite({
+    request,
+    statement,
+    route,
+    group,
+    tenantName,
+  }: StandaloneOperation): Promise<SessionResult> {
     const { requestId } = request;
     const deadlineMs = this.#deadlineOf(request, route);
     const job = { requestId, statement, route, group, tenantName, values: this.#values, deadlineMs };
     const runner = new WriteRunner(this.context, job);
-    this.#progress = runner;
+    this.#runner = runner;
     const reply = await runner.run();
-    if (reply.result.isComplete) this.#recordOwn(group, reply.position);
+    if (reply.result.isComplete) this.#recordCommit(group, reply.position);
     return toResult(reply, false);
   }
 
-  async #inTransaction(
+  async #runInTransaction(
     request: ClientRequest,
     statement: SessionStatement,
     kind: TransactionStep['kind'],
   ): Promise<SessionResult> {
     const transaction = this.#openTransaction();
-    this.#progress = transaction;
+    this.#runner = transaction;
     const { requestId } = request;
     const deadlineMs = this.#deadlineOf(request, transaction.options.route);
     const reply = await transaction.run({ requestId, statement, kind, values: this.#values, deadlineMs });
     const result = toResult(reply, kind !== 'commit' || !transaction.hasWritten);
     if (kind === 'commit' && reply.result.isComplete && transaction.hasWritten)
-      this.#recordOwn(transaction.options.group, reply.position);
+      this.#recordCommit(transaction.options.group, reply.position);
     return result;
   }
 
   async #commit(request: ClientRequest, payload: string): Promise<SessionResult> {
-    const result = await this.#inTransaction(request, { kind: 'plain', payload }, 'commit');
+    const result = await this.#runInTransaction(request, { kind: 'plain', payload }, 'commit');
     this.#endTransaction();
     this.#state = 'idle';
     return result;
@@ -370,7 +391,10 @@
     if (this.#transaction !== null) return this.#transaction;
     const begin = this.#beginRequest;
     if (begin === null) throw new Refusal('aborted', 'not_run', 'the transaction was ended', RETRY_AFTER_MS);
-    this.#transaction = new Transaction(this.context, { ...begin, sessionFloor: this.#floorIn(begin.group) });
+    this.#transaction = new Transaction(this.context, {
+      ...begin,
+      sessionFloor: this.#sessionFloorFor(begin.group),
+    });
     return this.#transaction;
   }
 
@@ -409,27 +433,31 @@
     }
   }
 
-  /** Who calls; asked for each operation, since keys are taken away while sessions are open. */
+  /**
+   * Authorizes the caller; repeated for each operation, since keys can be revoked while sessions are open.
+   */
   #authorize(route: Route): Caller {
     const answer = this.#authorization(route);
     if (answer instanceof Refusal) throw answer;
     return answer;
   }
 
-  /** The same for each statement of an open transaction, which goes on only for the tenant that has begun it. */
+  /**
+   * Authorizes a statement of an open transaction, which may be continued only by the tenant that began it.
+   */
   #authorizeInTransaction(): void {
     const begin = this.#beginRequest;
     if (begin === null) return;
     const answer = this.#authorization(begin.route);
     if (!(answer instanceof Refusal)) {
       if (answer.tenantName === begin.tenantName) return;
-      throw new Refusal('aborted', 'not_run', 'the key has passed to another tenant', RETRY_AFTER_MS);
+      throw new Refusal('aborted', 'not_run', 'the key now belongs to another tenant', RETRY_AFTER_MS);
     }
     if (answer.code === 'unauthorized') throw answer;
     throw new Refusal('aborted', 'not_run', answer.message, answer.retryAfterMs);
   }
 
-  /** Charges an operation to the caller's account; what is returned gives it back. */
+  /** Charges an operation to the caller's quota account; returns a function that refunds it. */
   async #charge({ account }: Caller): Promise<() => void> {
     if (account === null) return () => undefined;
     const charge = await this.context.quotas.charge(account);
@@ -443,30 +471,33 @@
     }
   }
 
-  #floorIn(group: MemberGroup): ReadFloor | null {
-    return this.#ownPosition?.groupName === group.name ? this.#ownPosition.floor : null;
+  #sessionFloorFor(group: MemberGroup): ReadFloor | null {
+    return this.#lastCommit?.groupName === group.name ? this.#lastCommit.floor : null;
   }
 
-  #recordOwn(group: MemberGroup, position: Position | null): void {
+  #recordCommit(group: MemberGroup, position: Position | null): void {
     if (position === null) return;
-    const before = this.#floorIn(group);
+    const before = this.#sessionFloorFor(group);
     const floor = { position, reachedAtMs: this.context.now() };
-    this.#ownPosition = {
+    this.#lastCommit = {
       groupName: group.name,
       floor: before === null ? floor : laterFloor(before, floor),
     };
   }
 
-  /** A transaction that rests too long gives its connection back; its client learns of it with the next request. */
-  #startRestTimer(): void {
+  /**
+   * Ends a transaction that stays idle too long, so that its connection is returned to the pool. The client
+   * is told with its next request.
+   */
+  #startIdleTimer(): void {
     const document = this.context.catalog.document;
     if (this.#transaction === null || document === null) return;
-    this.#restTimer = setTimeout(() => this.#endTransaction(), document.transactionIdleMs);
+    this.#idleTimer = setTimeout(() => this.#endTransaction(), document.transactionIdleMs);
   }
 
-  #stopRestTimer(): void {
-    if (this.#restTimer !== null) clearTimeout(this.#restTimer);
-    this.#restTimer = null;
+  #stopIdleTimer(): void {
+    if (this.#idleTimer !== null) clearTimeout(this.#idleTimer);
+    this.#idleTimer = null;
   }
 }
 
@@ -478,19 +509,19 @@
   return new Refusal('malformed', 'not_run', reason);
 }
 
-function requireRoom(names: ReadonlyMap<string, unknown>, name: string): void {
-  if (names.size >= MAX_NAMES && !names.has(name))
-    throw new Refusal('too_large', 'not_run', 'too many names in this session');
+function requireCapacity(names: ReadonlyMap<string, unknown>, name: string): void {
+  if (names.size >= MAX_SESSION_NAMES && !names.has(name))
+    throw new Refusal('too_large', 'not_run', 'too many names are defined in this session');
 }
 
-/** @param isUndone - whether an error leaves nothing of the transaction behind */
-function toResult(reply: MemberReply, isUndone: boolean): SessionResult {
+/** @param isRolledBack - whether an error means that the transaction is rolled back */
+function toResult(reply: MemberReply, isRolledBack: boolean): SessionResult {
   const { result } = reply;
   if (result.isComplete) return { isComplete: true, rows: reply.rows, signature: result.signature };
-  throw refusalOf(result.code, result.text, isUndone);
+  throw memberRefusal(result.code, result.text, isRolledBack);
 }
 
-const CODES: Readonly<Record<MemberErrorCode, RefusalCode>> = {
+const REFUSAL_CODES: Readonly<Record<MemberErrorCode, RefusalCode>> = {
   busy: 'busy',
   behind: 'busy',
   read_only: 'busy',
@@ -502,9 +533,9 @@
   other: 'failed',
 };
 
-function refusalOf(code: MemberErrorCode, text: string, isUndone: boolean): Refusal {
-  const mapped = CODES[code];
-  if (mapped === 'busy' && isUndone)
+function memberRefusal(code: MemberErrorCode, text: string, isRolledBack: boolean): Refusal {
+  const mapped = REFUSAL_CODES[code];
+  if (mapped === 'busy' && isRolledBack)
     return new Refusal('aborted', 'not_run', `${code} ${text}`, RETRY_AFTER_MS);
   if (mapped === 'busy') return new Refusal('busy', 'not_run', `${code} ${text}`, RETRY_AFTER_MS);
   return new Refusal(mapped, 'ran', `${code} ${text}`);
--- a/src/relay/transaction.ts
+++ b/src/relay/transaction.ts
@@ -1,5 +1,5 @@
 /**
- * A transaction of a session. It begins at a member with its first statement and stays on that connection.
+ * A transaction of a session. It is opened at a member with its first statement and stays on that connection.
  *
  * @packageDocumentation
  */
@@ -9,28 +9,34 @@
 import type { Route } from '../topology/catalog.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import { proveCommit } from './commit-proof.js';
-import { isLeadersLife, recordFloor, tellsLife } from './lead-proof.js';
+import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './lead-proof.js';
 import { dueAt } from './link-queue.js';
 import { DialError, hasLostLog, NotSentError, type MemberReply } from './member-link.js';
 import type { SessionLink, SessionValues } from './session-link.js';
-import { readCandidates, readFloor, recordReplica } from './read-runner.js';
-import { Refusal, type RefusalInputs } from './refusal.js';
+import { readCandidates, readFloor, recordReplicaProgress } from './read-runner.js';
+import { Refusal, type RefusalDetails } from './refusal.js';
 import { RETRY_AFTER_MS, RETRY_PAUSE_MS, type RelayContext } from './relay-context.js';
 import { sendStatement, type SessionStatement } from './send-statement.js';
-import { awaitLeader, isWaitOver, LEADER_RESERVE_MS, PASSED_OVER, type LeaderWait } from './write-runner.js';
+import {
+  awaitLeader,
+  shouldStopWaiting,
+  LEADER_RESERVE_MS,
+  LEADER_REPLACED,
+  type LeaderWait,
+} from './write-runner.js';
 
-/** What a transaction begins with. */
+/** Parameters of a transaction. */
 export interface TransactionOptions {
   readonly route: Route;
   readonly group: MemberGroup;
   readonly isReadOnly: boolean;
   readonly receivedAtMs: number;
-  /** Name of the tenant that members are told. */
+  /** Tenant name that is passed to members. */
   readonly tenantName: string;
   readonly sessionFloor: ReadFloor | null;
 }
 
-/** A statement inside a transaction. */
+/** A statement or commit inside a transaction. */
 export interface TransactionStep {
   readonly requestId: string;
   readonly statement: SessionStatement;
@@ -39,26 +45,25 @@
   readonly deadlineMs: number;
 }
 
-interface Pinned {
+interface PinnedConnection {
   readonly member: Member;
   readonly link: SessionLink;
   readonly isLeader: boolean;
 }
 
-/** One transaction. */
 export class Transaction {
   readonly #excluded = new Set<string>();
-  #pinned: Pinned | null = null;
-  /** The member at which it was begun last. */
-  #member: Member | null = null;
+  #pinned: PinnedConnection | null = null;
+  /** The member at which the last attempt to begin was made. */
+  #lastMember: Member | null = null;
   #hasWritten = false;
-  /** A statement has been sent, and was not refused as not run. */
+  /** True once a statement has been sent, unless the first one was refused as not run. */
   #wasSent = false;
-  /** The member has been sent the present statement, and has not refused it as not run. */
+  /** True once the current statement has been sent to the member, unless it was refused as not run. */
   #wasStepSent = false;
-  #isOver = false;
+  #isEnded = false;
   #lastReason = 'no member can serve';
-  /** No connection could be opened at the last attempt. */
+  /** True when no connection could be opened at the last attempt. */
   #isUnreachable = false;
 
   constructor(
@@ -66,17 +71,17 @@
     readonly options: TransactionOptions,
   ) {}
 
-  /** True once a member holds it open. */
+  /** True while the transaction is open at a member. */
   get isPinned(): boolean {
     return this.#pinned !== null;
   }
 
-  /** True once the member has been sent the present statement, unless it then said that it has not run it. */
+  /** True once the current statement has been sent to the member, unless the member refused it as not run. */
   get wasSent(): boolean {
     return this.#wasStepSent;
   }
 
-  /** True once a write has been sent in it. */
+  /** True once a write has been sent in this transaction. */
   get hasWritten(): boolean {
     return this.#hasWritten;
   }
@@ -84,51 +89,54 @@
   /**
    * Runs one statement.
    *
-   * @throws {@link Refusal}; the transaction is then over at the member
+   * @throws {@link Refusal}; the transaction has then ended at the member
    */
   async run(step: TransactionStep): Promise<MemberReply> {
     this.#wasStepSent = false;
-    const reply = this.#pinned === null ? await this.#first(step) : await this.#next(this.#pinned, step);
+    const reply =
+      this.#pinned === null ? await this.#runFirst(step) : await this.#runNext(this.#pinned, step);
     if (step.kind === 'commit' || reply.state !== 'open') this.end();
     if (step.kind === 'commit' && this.#hasWritten) await this.#prove(step, reply);
     return reply;
   }
 
-  /** Returns once a commit that the member has kept may be acknowledged. */
+  /** Waits until a commit that the member has completed may be acknowledged; throws if it stays in doubt. */
   async #prove({ requestId, deadlineMs }: TransactionStep, { result, position }: MemberReply): Promise<void> {
     const { group } = this.options;
     if (!result.isComplete || position === null) return;
     if (await proveCommit(this.context, { requestId, group, position, deadlineMs })) return;
-    throw new Refusal('in_doubt', 'may_have_run', PASSED_OVER, null, this.#inputs());
+    throw new Refusal('in_doubt', 'may_have_run', LEADER_REPLACED, null, this.#details());
   }
 
-  /** The same as {@link Transaction.end}: a transaction whose statement is given up goes on nowhere. */
+  /**
+   * Same as {@link Transaction.end}: a transaction cannot continue after one of its statements was abandoned.
+   */
   abandon(): void {
     this.end();
   }
 
-  /** Ends it at the member without keeping anything, unless it has ended already. */
+  /** Rolls the transaction back at the member, unless it has ended already. */
   end(): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+    if (this.#isEnded) return;
+    this.#isEnded = true;
     const pinned = this.#pinned;
     this.#pinned = null;
     if (pinned !== null) this.#release(pinned);
   }
 
-  async #first(step: TransactionStep): Promise<MemberReply> {
+  async #runFirst(step: TransactionStep): Promise<MemberReply> {
     const { context, options } = this;
     const wait = { sinceMs: context.now(), timeoutMs: options.route.timeoutMs };
     for (;;) {
-      const member = await this.#choose(step, wait);
-      if (this.#isOver) throw new Refusal('aborted', 'not_run', 'the transaction was ended');
+      const member = await this.#chooseMember(step, wait);
+      if (this.#isEnded) throw new Refusal('aborted', 'not_run', 'the transaction was ended');
       if (member === null || context.now() >= step.deadlineMs) throw this.#notRun();
-      const reply = await this.#firstAt(member, step);
+      const reply = await this.#runFirstAt(member, step);
       if (reply !== null) return reply;
       const now = context.now();
       const isUnreachable =
         this.#isUnreachable || member.isAvoided(now) || options.group.commits.isStalled(now);
-      if (!this.#mayUseReplica() && isWaitOver(context, options.group, isUnreachable, wait))
+      if (!this.#mayUseReplica() && shouldStopWaiting(context, options.group, isUnreachable, wait))
         throw this.#notRun();
       this.#excluded.add(member.entry.memberId);
       context.observer.notable({
@@ -140,19 +148,23 @@
     }
   }
 
-  /** The member to begin at, or `null` when none can be had in time. */
-  async #choose(step: TransactionStep, wait: LeaderWait): Promise<Member | null> {
+  /**
+   * Waits for a member to begin at; `null` when none becomes available in time, or the request should be
+   * refused early.
+   */
+  async #chooseMember(step: TransactionStep, wait: LeaderWait): Promise<Member | null> {
     const { context, options } = this;
-    const until = step.deadlineMs - LEADER_RESERVE_MS;
+    const waitUntilMs = step.deadlineMs - LEADER_RESERVE_MS;
     for (;;) {
       const now = context.now();
-      const isHeldUp = !this.#mayUseReplica() && options.group.commits.isSlow(now);
-      const member = isHeldUp ? null : this.#chooseNow();
+      const isCommitSlow = !this.#mayUseReplica() && options.group.commits.isSlow(now);
+      const member = isCommitSlow ? null : this.#selectMember();
       if (member !== null) return member;
-      if (now >= until) return null;
-      if (isHeldUp) {
+      if (now >= waitUntilMs) return null;
+      if (isCommitSlow) {
         this.#lastReason = 'an earlier commit is slow';
-        if (isWaitOver(context, options.group, options.group.commits.isStalled(now), wait)) return null;
+        if (shouldStopWaiting(context, options.group, options.group.commits.isStalled(now), wait))
+          return null;
         await options.group.changed.wait(RETRY_PAUSE_MS);
         continue;
       }
@@ -161,13 +173,13 @@
         await options.group.changed.wait(RETRY_PAUSE_MS);
         continue;
       }
-      if (!this.#mayUseReplica()) return awaitLeader(context, options.group, until, wait);
-      if (isWaitOver(context, options.group, false, wait)) return null;
-      await options.group.changed.wait(Math.min(RETRY_PAUSE_MS, until - now));
+      if (!this.#mayUseReplica()) return awaitLeader(context, options.group, waitUntilMs, wait);
+      if (shouldStopWaiting(context, options.group, false, wait)) return null;
+      await options.group.changed.wait(Math.min(RETRY_PAUSE_MS, waitUntilMs - now));
     }
   }
 
-  #chooseNow(): Member | null {
+  #selectMember(): Member | null {
     const { context, options } = this;
     const { group, route, sessionFloor, receivedAtMs } = options;
     if (!this.#mayUseReplica()) {
@@ -184,8 +196,10 @@
     return this.options.isReadOnly && this.options.route.consistency !== 'primary';
   }
 
-  /** Begins at a member and runs the first statement; `null` when nothing is kept and another may be tried. */
-  async #firstAt(member: Member, step: TransactionStep): Promise<MemberReply | null> {
+  /**
+   * Begins at a member and runs the first statement; `null` when nothing was run and another may be tried.
+   */
+  async #runFirstAt(member: Member, step: TransactionStep): Promise<MemberReply | null> {
     const { context, options } = this;
     const { group, route, tenantName } = options;
     this.#isUnreachable = false;
@@ -201,24 +215,24 @@
       return null;
     }
     const isLeader = !this.#mayUseReplica() || group.leader(context.now()) === member;
-    const pinned: Pinned = { member, link, isLeader };
-    this.#member = member;
-    const overdue = setTimeout(() => link.close(), step.deadlineMs - context.now());
+    const pinned: PinnedConnection = { member, link, isLeader };
+    this.#lastMember = member;
+    const deadlineTimer = setTimeout(() => link.close(), step.deadlineMs - context.now());
     try {
-      const obstacle = await this.#begin(pinned, step);
-      if (obstacle !== null) {
-        this.#lastReason = obstacle;
+      const failureReason = await this.#begin(pinned, step);
+      if (failureReason !== null) {
+        this.#lastReason = failureReason;
         this.#release(pinned);
         return null;
       }
       const reply = await this.#send(pinned, step);
-      if (this.#isOver) {
+      if (this.#isEnded) {
         this.#release(pinned);
         throw new Refusal('aborted', 'not_run', 'the transaction was ended');
       }
       if (!reply.result.isComplete && isNotRun(reply)) {
         this.#lastReason = reply.result.code;
-        this.#firstWasNotRun();
+        this.#resetAfterNotRun();
         this.#release(pinned);
         return null;
       }
@@ -228,31 +242,34 @@
       link.close();
       member.pool.release(link);
       if (error instanceof Refusal) throw error;
-      if (error instanceof NotSentError) this.#firstWasNotRun();
-      if (this.#wasSent) this.#throwLoss(step, error);
+      if (error instanceof NotSentError) this.#resetAfterNotRun();
+      if (this.#wasSent) this.#throwConnectionLost(step, error);
       this.#lastReason = `connection lost: ${String(error)}`;
       return null;
     } finally {
-      clearTimeout(overdue);
+      clearTimeout(deadlineTimer);
     }
   }
 
-  /** The first statement was refused as not run, or did not leave: it may begin elsewhere. */
-  #firstWasNotRun(): void {
+  /**
+   * Called when the first statement was refused as not run, or was never sent, so it may be retried
+   * elsewhere.
+   */
+  #resetAfterNotRun(): void {
     this.#wasSent = false;
     this.#wasStepSent = false;
     this.#hasWritten = false;
   }
 
-  /** Begins at the member; a reason when it could not. */
-  async #begin(pinned: Pinned, step: TransactionStep): Promise<string | null> {
+  /** Begins at the member; returns the reason when that failed, else `null`. */
+  async #begin(pinned: PinnedConnection, step: TransactionStep): Promise<string | null> {
     const { context, options } = this;
     const { group, route, isReadOnly } = options;
     const { member, link, isLeader } = pinned;
     await link.adoptValues(step.values);
-    if (isLeader && group.leader(context.now()) !== member) return 'no evidence of the leader';
+    if (isLeader && group.leader(context.now()) !== member) return 'no valid evidence for the leader';
     const floor = isLeader ? null : readFloor(group, route, options.sessionFloor, options.receivedAtMs);
-    if (!isLeader && floor === null) return 'no position of the leader';
+    if (!isLeader && floor === null) return 'no recent position of the leader is known';
     context.observer.routine({
       requestId: step.requestId,
       decision: 'begin_at',
@@ -263,21 +280,21 @@
     const after = isLeader ? group.heldByLeader : (floor?.position ?? null);
     const { leader } = group.evidence;
     const reply = await link.send({ kind: 'begin', isReadOnly, after });
-    recordReplica(member, floor, reply, context.now());
+    recordReplicaProgress(member, floor, reply, context.now());
     if (reply.result.isComplete) {
-      if (reply.state !== 'open') return 'did not begin';
-      // Only a primary begins anything else than a transaction that reads.
-      if (!isLeader || !isReadOnly || tellsLife(after) || leader === null) return null;
-      const isLeaders = await isLeadersLife(context, group, leader, link, reply.position);
-      return isLeaders ? null : 'perhaps another life of the leader';
+      if (reply.state !== 'open') return 'transaction did not open';
+      // Only a primary accepts a read-write transaction, so its incarnation needs no check.
+      if (!isLeader || !isReadOnly || isNonEmptyLog(after) || leader === null) return null;
+      const isVerified = await verifyLeaderIncarnation(context, group, leader, link, reply.position);
+      return isVerified ? null : 'may be another incarnation of the leader';
     }
     if (reply.result.code === 'read_only') context.suspect(group, member, 'read_only');
     if (isLeader && hasLostLog(reply)) context.suspect(group, member, 'lost_log');
     return reply.result.code;
   }
 
-  async #next(pinned: Pinned, step: TransactionStep): Promise<MemberReply> {
-    const overdue = setTimeout(() => pinned.link.close(), step.deadlineMs - this.context.now());
+  async #runNext(pinned: PinnedConnection, step: TransactionStep): Promise<MemberReply> {
+    const deadlineTimer = setTimeout(() => pinned.link.close(), step.deadlineMs - this.context.now());
     try {
       for (;;) {
         const reply = await this.#send(pinned, step);
@@ -285,26 +302,26 @@
         if (!isBusy) return reply;
         this.#wasStepSent = false;
         await this.options.group.changed.wait(RETRY_PAUSE_MS);
-        if (this.#isOver) throw new Refusal('aborted', 'not_run', 'the transaction was ended');
+        if (this.#isEnded) throw new Refusal('aborted', 'not_run', 'the transaction was ended');
       }
     } catch (error) {
       this.end();
       if (error instanceof Refusal) throw error;
       if (error instanceof NotSentError) this.#wasStepSent = false;
-      return this.#throwLoss(step, error);
+      return this.#throwConnectionLost(step, error);
     } finally {
-      clearTimeout(overdue);
+      clearTimeout(deadlineTimer);
     }
   }
 
-  async #send(pinned: Pinned, step: TransactionStep): Promise<MemberReply> {
+  async #send(pinned: PinnedConnection, step: TransactionStep): Promise<MemberReply> {
     const { context, options } = this;
     const { group } = options;
     const { link, isLeader, member } = pinned;
-    const isKept = step.kind === 'commit' && this.#hasWritten;
-    const commit = isKept ? group.commits.sent(context.now()) : null;
+    const isWriteCommit = step.kind === 'commit' && this.#hasWritten;
+    const commit = isWriteCommit ? group.commits.sent(context.now()) : null;
     const sending = sendStatement(link, step.statement, step.requestId, step.values, null, () => {
-      if (this.#isOver) return 'the transaction was ended';
+      if (this.#isEnded) return 'the transaction was ended';
       if (step.kind === 'write') this.#hasWritten = true;
       this.#wasSent = true;
       this.#wasStepSent = true;
@@ -325,50 +342,52 @@
     context.observer.memberAnswered(step.kind, isLeader, context.now() - sentAtMs);
     const { leader } = group.evidence;
     if (isLeader && reply.result.isComplete && leader !== null && group.leader(sentAtMs) === member)
-      recordFloor(context, group, leader, sentAtMs, reply.position);
+      recordLeaderPosition(context, group, leader, sentAtMs, reply.position);
     if (!reply.result.isComplete && reply.result.code === 'read_only' && isLeader)
       context.suspect(group, member, 'read_only');
     return reply;
   }
 
   /**
-   * A commit of writes whose answer is lost is in doubt. Anything else is rolled back by the member; it may have
-   * run on that connection, so the transaction goes on on no other. A commit that was not sent is no exception: no other
-   * connection can commit the transaction, and the member rolls it back once it sees the end of this one, however late.
+   * Throws the refusal for a lost connection. A commit of writes is in doubt if it was sent and its answer
+   * was lost. In all other cases the member rolls the transaction back. Its statements may have run on that
+   * connection, so it is not continued on another. This holds for a commit that was not sent, too: no other
+   * connection can commit the transaction, and the member rolls it back once it detects that this connection
+   * is closed, however late that is.
    */
-  #throwLoss(step: TransactionStep, error: unknown): never {
+  #throwConnectionLost(step: TransactionStep, error: unknown): never {
     if (step.kind === 'commit' && this.#hasWritten && this.#wasStepSent)
       throw new Refusal(
         'in_doubt',
         'may_have_run',
         `answer to the commit lost: ${String(error)}`,
         null,
-        this.#inputs(),
+        this.#details(),
       );
     throw new Refusal(
       'aborted',
       'not_run',
       `connection lost: ${String(error)}`,
       RETRY_AFTER_MS,
-      this.#inputs(),
+      this.#details(),
     );
   }
 
   #notRun(): Refusal {
-    return new Refusal('busy', 'not_run', this.#lastReason, RETRY_AFTER_MS, this.#inputs());
+    return new Refusal('busy', 'not_run', this.#lastReason, RETRY_AFTER_MS, this.#details());
   }
 
-  #inputs(): RefusalInputs {
+  #details(): RefusalDetails {
     const { group } = this.options;
     return {
       group: group.name,
-      member: this.#member?.entry.memberId ?? null,
+      member: this.#lastMember?.entry.memberId ?? null,
       ...group.describeLeadership(this.context.now()),
     };
   }
 
-  /** Gives the connection back once the member has rolled back what is open. */
-  #release(pinned: Pinned): void {
+  /** Returns the connection to the pool once the member has rolled back any open transaction. */
+  #release(pinned: PinnedConnection): void {
     const { link, member } = pinned;
     if (!link.isOpen || link.isClean) {
       member.pool.release(link);
@@ -379,21 +398,21 @@
       member.pool.release(link);
       return;
     }
-    const overdue = setTimeout(() => link.close(), ROLLBACK_MS);
+    const rollbackTimer = setTimeout(() => link.close(), ROLLBACK_TIMEOUT_MS);
     link
       .send({ kind: 'rollback' })
       .catch(() => link.close())
       .finally(() => {
-        clearTimeout(overdue);
+        clearTimeout(rollbackTimer);
         member.pool.release(link);
       });
   }
 }
 
-/** Longest time of a rollback before the connection is ended instead, in milliseconds. */
-const ROLLBACK_MS = 1000;
+/** Time-out of a rollback, in milliseconds; after it the connection is closed instead. */
+const ROLLBACK_TIMEOUT_MS = 1000;
 
-/** True when the member refused the statement without running it. */
+/** True when the member refused the request without running it. */
 function isNotRun(reply: MemberReply): boolean {
   if (reply.result.isComplete) return false;
   const { code } = reply.result;
--- a/src/relay/write-runner.ts
+++ b/src/relay/write-runner.ts
@@ -1,5 +1,6 @@
 /**
- * Runs a single write at the leader: waits for one, and says what is known when the answer is lost.
+ * Runs a write outside a transaction at the leader: waits for a leader, and refuses the write as in doubt
+ * when its answer is lost.
  *
  * @packageDocumentation
  */
@@ -7,12 +8,12 @@
 import type { Route } from '../topology/catalog.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import { proveCommit } from './commit-proof.js';
-import { recordFloor } from './lead-proof.js';
+import { recordLeaderPosition } from './lead-proof.js';
 import { dueAt, type LinkDemand } from './link-queue.js';
 import { DialError, NotSentError, type MemberReply } from './member-link.js';
 import type { SessionValues } from './session-link.js';
-import { Refusal, type RefusalInputs } from './refusal.js';
-import { shouldAskElsewhere } from './patience.js';
+import { Refusal, type RefusalDetails } from './refusal.js';
+import { shouldRefuseEarly } from './early-refusal.js';
 import { RETRY_AFTER_MS, RETRY_PAUSE_MS, type RelayContext } from './relay-context.js';
 import { sendStatement, type SessionStatement } from './send-statement.js';
 
@@ -22,28 +23,33 @@
   readonly statement: SessionStatement;
   readonly route: Route;
   readonly group: MemberGroup;
-  /** Name of the tenant that members are told. */
+  /** Tenant name that is passed to members. */
   readonly tenantName: string;
   readonly values: SessionValues;
   readonly deadlineMs: number;
 }
 
-/** Time that a request needs at a new leader; nobody waits for one longer than this before the deadline. */
+/** Time reserved before the deadline for running a request at a new leader, in milliseconds. */
 export const LEADER_RESERVE_MS = 60;
 
-/** Why a commit that a leader has kept is not acknowledged. */
-export const PASSED_OVER = 'the leader is being replaced, perhaps without it';
+/** Reason of the refusal when a commit that the leader has completed cannot be acknowledged. */
+export const LEADER_REPLACED = 'the leader is being replaced, and the new leader may not have this commit';
 
-/** Since when a request waits, and how long it may take, in milliseconds. */
+/**
+ * Start of a wait for the leader in monotonic milliseconds, and the time-out of the request in milliseconds.
+ */
 export interface LeaderWait {
   readonly sinceMs: number;
   readonly timeoutMs: number;
 }
 
-/** Longest time between two looks at whether a wait is of use, in milliseconds. */
-const WAIT_LOOK_MS = 100;
+/** Longest interval between two checks whether to keep waiting for a leader, in milliseconds. */
+const LEADER_POLL_MS = 100;
 
-/** The leader under valid evidence; waits for one until `untilMs`, or while that is of use, then gives `null`. */
+/**
+ * Waits for a leader with valid evidence; `null` when there is none by `untilMs`, or when the client should
+ * rather retry at another daemon.
+ */
 export async function awaitLeader(
   context: RelayContext,
   group: MemberGroup,
@@ -54,24 +60,25 @@
     const now = context.now();
     const leader = group.leader(now);
     if (leader !== null) return leader;
-    if (now >= untilMs || isWaitOver(context, group, false, wait)) return null;
-    await group.changed.wait(Math.min(WAIT_LOOK_MS, untilMs - now));
+    if (now >= untilMs || shouldStopWaiting(context, group, false, wait)) return null;
+    await group.changed.wait(Math.min(LEADER_POLL_MS, untilMs - now));
   }
 }
 
 /**
- * True when a request that needs the leader should be left to another daemon.
+ * True when a request that needs the leader should be refused now, so that the client can retry at another
+ * daemon.
  *
- * @param isUnreachable - the leader was silent, or could not be connected to
+ * @param isUnreachable - the leader did not answer, or could not be connected to
  */
-export function isWaitOver(
+export function shouldStopWaiting(
   context: RelayContext,
   group: MemberGroup,
   isUnreachable: boolean,
   { sinceMs, timeoutMs }: LeaderWait,
 ): boolean {
   const now = context.now();
-  return shouldAskElsewhere({
+  return shouldRefuseEarly({
     heldMs: now - sinceMs,
     timeoutMs,
     leaderlessMs: group.leaderlessMs(now),
@@ -79,12 +86,10 @@
   });
 }
 
-/** Runs one write. */
 export class WriteRunner {
   #lastReason = 'no leader';
-  /** No connection could be opened at the last attempt. */
+  /** True when no connection could be opened at the last attempt. */
   #isUnreachable = false;
-  /** The leader has been sent the write, and has not refused it as not run. */
   #wasSent = false;
   #isAbandoned = false;
 
@@ -93,18 +98,18 @@
     private readonly job: WriteJob,
   ) {}
 
-  /** True once the leader has been sent the write, unless it then said that it has not run it. */
+  /** True once the write has been sent to the leader, unless the leader refused it as not run. */
   get wasSent(): boolean {
     return this.#wasSent;
   }
 
-  /** Sends nothing more. */
+  /** Abandons the write: nothing more is sent. */
   abandon(): void {
     this.#isAbandoned = true;
   }
 
   /**
-   * The leader's answer.
+   * Returns the leader's answer.
    *
    * @throws {@link Refusal}
    */
@@ -116,17 +121,17 @@
       if (leader === null || context.now() >= job.deadlineMs || this.#isAbandoned) throw this.#notRun();
       const { commits } = job.group;
       if (commits.isSlow(context.now())) {
-        // What is sent now may end in doubt, and would keep a connection from the reads.
+        // A write sent now could end in doubt, and would occupy a connection that reads could use.
         const isStalled = commits.isStalled(context.now());
         this.#lastReason = isStalled ? 'commits stall' : 'an earlier commit is slow';
-        if (isWaitOver(context, job.group, isStalled, wait)) throw this.#notRun();
+        if (shouldStopWaiting(context, job.group, isStalled, wait)) throw this.#notRun();
         await job.group.changed.wait(RETRY_PAUSE_MS);
         continue;
       }
       const reply = await this.#attempt(leader);
-      if (reply !== null) return this.#proven(reply);
+      if (reply !== null) return this.#withCommitProof(reply);
       const isUnreachable = this.#isUnreachable || leader.isAvoided(context.now());
-      if (isWaitOver(context, job.group, isUnreachable, wait)) throw this.#notRun();
+      if (shouldStopWaiting(context, job.group, isUnreachable, wait)) throw this.#notRun();
       context.observer.notable({
         requestId: job.requestId,
         decision: 'write_again',
@@ -137,16 +142,19 @@
     }
   }
 
-  /** The answer once it may be given: what the leader has kept is acknowledged only when that is proven. */
-  async #proven(reply: MemberReply): Promise<MemberReply> {
+  /**
+   * Holds back the answer to a completed write until its commit is proven, and refuses it as in doubt
+   * otherwise.
+   */
+  async #withCommitProof(reply: MemberReply): Promise<MemberReply> {
     const { context, job } = this;
     const { position } = reply;
     if (!reply.result.isComplete || position === null) return reply;
-    if (!(await proveCommit(context, { ...job, position }))) throw this.#passedOver();
+    if (!(await proveCommit(context, { ...job, position }))) throw this.#leaderReplaced();
     return reply;
   }
 
-  /** One attempt: the answer, or `null` when it was not run. */
+  /** Makes one attempt; `null` when the write was not run. */
   async #attempt(leader: Member): Promise<MemberReply | null> {
     const { context, job } = this;
     this.#isUnreachable = false;
@@ -159,14 +167,14 @@
       return null;
     }
     let sentAtMs = 0;
-    const { leader: led } = job.group.evidence;
-    const overdue = setTimeout(() => link.close(), job.deadlineMs - context.now());
+    const { leader: expectedLeader } = job.group.evidence;
+    const deadlineTimer = setTimeout(() => link.close(), job.deadlineMs - context.now());
     const commit = job.group.commits.sent(context.now());
     let isAnswered = false;
     try {
       const sent = await sendStatement(link, job.statement, job.requestId, job.values, null, () => {
-        if (this.#isAbandoned) return 'given up';
-        if (job.group.leader(context.now()) !== leader) return 'no evidence of the leader';
+        if (this.#isAbandoned) return 'the request was abandoned';
+        if (job.group.leader(context.now()) !== leader) return 'no valid evidence for the leader';
         this.#wasSent = true;
         sentAtMs = context.now();
         return null;
@@ -176,7 +184,7 @@
         return null;
       }
       isAnswered = true;
-      const reply = this.#judge(leader, sent.reply, sent.sentAtMs, led);
+      const reply = this.#handleReply(leader, sent.reply, sent.sentAtMs, expectedLeader);
       if (reply === null) this.#wasSent = false;
       return reply;
     } catch (error) {
@@ -189,11 +197,11 @@
       throw new Refusal('in_doubt', 'may_have_run', `answer lost: ${String(error)}`, null, {
         member: leader.entry.memberId,
         sentAgoMs: Math.round(context.now() - sentAtMs),
-        ...this.#inputs(),
+        ...this.#details(),
       });
     } finally {
       job.group.commits.ended(commit, isAnswered, context.now());
-      clearTimeout(overdue);
+      clearTimeout(deadlineTimer);
       leader.pool.release(link);
     }
   }
@@ -204,26 +212,35 @@
   }
 
   #notRun(): Refusal {
-    return new Refusal('busy', 'not_run', this.#lastReason, RETRY_AFTER_MS, this.#inputs());
+    return new Refusal('busy', 'not_run', this.#lastReason, RETRY_AFTER_MS, this.#details());
   }
 
-  /** The leader has kept the write, and is being replaced by a member that may not have received it. */
-  #passedOver(): Refusal {
-    return new Refusal('in_doubt', 'may_have_run', PASSED_OVER, null, this.#inputs());
+  /**
+   * Refusal when the leader completed the write but is being replaced by a member that may not have received
+   * it.
+   */
+  #leaderReplaced(): Refusal {
+    return new Refusal('in_doubt', 'may_have_run', LEADER_REPLACED, null, this.#details());
   }
 
-  #inputs(): RefusalInputs {
+  #details(): RefusalDetails {
     return { group: this.job.group.name, ...this.job.group.describeLeadership(this.context.now()) };
   }
 
-  /** @param led - who was believed to lead when the write was about to be sent */
-  #judge(leader: Member, reply: MemberReply, sentAtMs: number, led: Leader | null): MemberReply | null {
+  /** @param expectedLeader - the leader known when the connection was acquired, before the write was sent */
+  #handleReply(
+    leader: Member,
+    reply: MemberReply,
+    sentAtMs: number,
+    expectedLeader: Leader | null,
+  ): MemberReply | null {
     const { context, job } = this;
     leader.trust(context.now());
     leader.recordOutcome(!reply.result.isComplete && reply.result.code === 'failed', context.now());
     if (reply.result.isComplete) {
       context.observer.memberAnswered('write', true, context.now() - sentAtMs);
-      if (led !== null) recordFloor(context, job.group, led, sentAtMs, reply.position);
+      if (expectedLeader !== null)
+        recordLeaderPosition(context, job.group, expectedLeader, sentAtMs, reply.position);
       return reply;
     }
     const { code } = reply.result;
