--- a/src/relay/read-runner.test.ts
+++ b/src/relay/read-runner.test.ts
@@ -1,5 +1,5 @@
 /**
- * Where reads go when connections or evidence are short.
+ * Which member serves a read when connections are in use or the leader has no valid evidence.
  *
  * @packageDocumentation
  */
@@ -15,27 +15,27 @@
 import { Refusal } from './refusal.js';
 import type { RelayContext } from './relay-context.js';
 
-/** A member that answers when the test says so. */
+/** A member whose replies the test triggers. */
 class FakeMember {
-  readonly asked: MemberRequest[] = [];
-  readonly #waiting: ((reply: MemberReply) => void)[] = [];
+  readonly requests: MemberRequest[] = [];
+  readonly #pendingReplies: ((reply: MemberReply) => void)[] = [];
 
   dial(): Promise<MemberLink> {
     return Promise.resolve({
       isOpen: true,
       lastReceivedMs: 0,
       send: (request: MemberRequest) => {
-        this.asked.push(request);
-        return new Promise<MemberReply>((resolve) => this.#waiting.push(resolve));
+        this.requests.push(request);
+        return new Promise<MemberReply>((resolve) => this.#pendingReplies.push(resolve));
       },
       close: () => undefined,
       onClosed: () => undefined,
     });
   }
 
-  /** Refuses the oldest request: not run. */
+  /** Refuses the oldest request as not run. */
   refuse(): void {
-    this.#waiting.shift()?.({
+    this.#pendingReplies.shift()?.({
       rows: [],
       result: { isComplete: false, code: 'busy', text: 'BUSY' },
       state: 'idle',
@@ -45,8 +45,8 @@
 
   /** Answers the oldest request. */
   answer(signature: string): void {
-    const resolve = this.#waiting.shift();
-    if (resolve === undefined) throw new LinkLostError('nothing is asked');
+    const resolve = this.#pendingReplies.shift();
+    if (resolve === undefined) throw new LinkLostError('no request is pending');
     resolve({
       rows: [],
       result: { isComplete: true, signature },
@@ -75,7 +75,7 @@
   read(id: string): Promise<MemberReply>;
 }
 
-/** A group of a leader and a replica to which this daemon has one connection each. */
+/** A group of a leader and a replica, with one connection to each. */
 function scene(route: Route = ROUTE): Scene {
   const clock = { now: performance.now() };
   const fakes = { leader: new FakeMember(), replica: new FakeMember() };
@@ -108,23 +108,23 @@
   return { clock, group, ...fakes, read };
 }
 
-/** Lets everything that can go on go on. */
-async function settle(): Promise<void> {
+/** Runs the event loop until pending work that needs no timer is done. */
+async function drainEventLoop(): Promise<void> {
   for (let round = 0; round < 20; round += 1) await new Promise((resolve) => setImmediate(resolve));
 }
 
-test('a read that waits is served by whichever member has a connection free first', async () => {
+test('a waiting read is served by the member that has a free connection first', async () => {
   const { group, clock, leader, replica, read } = scene();
   group.recordLed(clock.now - 100, { term: 1, index: 5 });
   const first = [read('a'), read('b')];
-  await settle();
-  assert.equal(leader.asked.length + replica.asked.length, 2);
+  await drainEventLoop();
+  assert.equal(leader.requests.length + replica.requests.length, 2);
   const waiting = read('c');
-  await settle();
-  assert.equal(leader.asked.length + replica.asked.length, 2, 'both connections are taken');
+  await drainEventLoop();
+  assert.equal(leader.requests.length + replica.requests.length, 2, 'both connections are taken');
   leader.answer('one');
-  await settle();
-  assert.equal(leader.asked.length, 2, 'the leader was free first');
+  await drainEventLoop();
+  assert.equal(leader.requests.length, 2, 'the leader was free first');
   leader.answer('two');
   replica.answer('three');
   assert.ok((await waiting).result.isComplete);
@@ -134,15 +134,15 @@
 test('a read that only the leader could serve goes to a replica once a position of the leader is known', async () => {
   const { leader, replica, read } = scene();
   const first = read('a');
-  await settle();
+  await drainEventLoop();
   const second = read('b');
-  await settle();
-  assert.deepEqual([leader.asked.length, replica.asked.length], [1, 0]);
+  await drainEventLoop();
+  assert.deepEqual([leader.requests.length, replica.requests.length], [1, 0]);
   leader.answer('one');
   await first;
   const third = read('c');
-  await settle();
-  assert.equal(replica.asked.length, 1);
+  await drainEventLoop();
+  assert.equal(replica.requests.length, 1);
   leader.answer('two');
   replica.answer('three');
   await Promise.all([second, third]);
@@ -153,10 +153,14 @@
   group.recordLed(clock.now - 100, { term: 1, index: 5 });
   group.evidence.revoke(1, clock.now);
   const reads = [read('a'), read('b')];
-  await settle();
-  const [asked] = leader.asked;
-  assert.ok(asked?.kind === 'statement');
-  assert.deepEqual(asked.after, { term: 1, index: 5 }, 'it refuses by itself if it does not hold the floor');
+  await drainEventLoop();
+  const [request] = leader.requests;
+  assert.ok(request?.kind === 'statement');
+  assert.deepEqual(
+    request.after,
+    { term: 1, index: 5 },
+    'the member refuses if it has not reached the floor',
+  );
   leader.answer('one');
   replica.answer('two');
   await Promise.all(reads);
@@ -168,15 +172,15 @@
     if (consistency === 'primary') group.recordLed(clock.now - 100, { term: 1, index: 5 });
     group.evidence.revoke(1, clock.now);
     const refused = assert.rejects(read('a'), /no member can serve/);
-    await settle();
+    await drainEventLoop();
     clock.now += 300;
     group.changed.notify();
     await refused;
-    assert.deepEqual([leader.asked.length, replica.asked.length], [0, 0]);
+    assert.deepEqual([leader.requests.length, replica.requests.length], [0, 0]);
   }
 });
 
-test('a read that every member has refused as not run is refused as not run when its time is over', async () => {
+test('a read that every member has refused as not run is refused as not run when it times out', async () => {
   const { clock, leader, read } = scene({ ...ROUTE, consistency: 'primary', timeoutMs: 200 });
   const refused = assert.rejects(read('a'), (error: unknown) => {
     assert.ok(error instanceof Refusal);
@@ -184,8 +188,8 @@
     assert.equal(error.verdict, 'not_run');
     return true;
   });
-  await settle();
-  assert.equal(leader.asked.length, 1);
+  await drainEventLoop();
+  assert.equal(leader.requests.length, 1);
   clock.now += 300;
   leader.refuse();
   await refused;
--- a/src/relay/write-runner.test.ts
+++ b/src/relay/write-runner.test.ts
@@ -1,5 +1,6 @@
 /**
- * A write while commits at the leader go without an answer, and one whose connection has ended before it leaves.
+ * Writes while commits at the leader are not answered, and writes whose connection closes before they are
+ * sent.
  *
  * @packageDocumentation
  */
@@ -25,7 +26,7 @@
   maxStalenessMs: 0,
   isPublic: true,
 };
-/** Time that passes with each look at the clock, in milliseconds. */
+/** Time by which the clock advances with each reading, in milliseconds. */
 const STEP_MS = 20;
 
 test('is not sent to a leader whose commits stall, and is refused soon as not run', async () => {
@@ -35,7 +36,7 @@
   const leader = {
     entry: { memberId: 'm' },
     isAvoided: () => false,
-    pool: { acquire: () => Promise.reject(new Error(`not to be asked: ${(acquired += 1)}`)) },
+    pool: { acquire: () => Promise.reject(new Error(`unexpected connection request ${(acquired += 1)}`)) },
   };
   group.members.set('m', leader as unknown as Member);
   group.evidence.believe({ memberId: 'm', term: 1 });
@@ -78,7 +79,7 @@
   assert.ok(acquired > 0, 'sent again once commits are answered');
 });
 
-/** A leader whose pool hands out these connections, and a runner of one write. */
+/** A group whose leader's pool hands out the given connections, and a runner of one write. */
 function writeAtLeader(links: readonly FakeLink[]): {
   readonly group: MemberGroup;
   readonly runner: WriteRunner;
@@ -122,21 +123,22 @@
   return { group, runner };
 }
 
-test('is sent again over another connection when its own had ended before it left', async () => {
-  const ended = new FakeLink();
-  ended.close();
+test('is sent over another connection when the first one closed before the write was sent', async () => {
+  const closed = new FakeLink();
+  closed.close();
   const open = new FakeLink();
-  const { runner } = writeAtLeader([ended, open]);
+  const { runner } = writeAtLeader([closed, open]);
   const reply = await runner.run();
   assert.equal(reply.result.isComplete, true);
-  assert.equal(ended.sent.length, 0);
+  assert.equal(closed.sent.length, 0);
   assert.equal(open.sent.length, 1);
 });
 
 /**
- * Users see a confirmed change undone after a link of one machine failed: the holder of the duty cannot pause a replica, has been
- * told by every daemon what it has acknowledged, and names another replica. A write that was under way is answered after that,
- * on the word of the replica that was not paused.
+ * Guards against an acknowledged write that is lost after a network link of one machine fails. The daemon
+ * that holds the promotion duty cannot pause one replica, learns from every daemon what that daemon has
+ * acknowledged, and promotes another replica. The leader then answers a write in progress, acknowledged only
+ * by the replica that was not paused.
  */
 test('is in doubt when its answer comes after a promotion was told what has been acknowledged', async () => {
   const link = new FakeLink();
