--- a/src/relay/transaction.test.ts
+++ b/src/relay/transaction.test.ts
@@ -1,6 +1,7 @@
 /**
- * A transaction whose client leaves at every point of a statement: nothing of it runs outside of it. And one whose connection
- * ends: what its client is told is what is known.
+ * Transactions whose client disconnects at any point of a statement: none of their statements may run outside
+ * the transaction. And transactions whose connection closes: the refusal states what is known of their
+ * effect.
  *
  * @packageDocumentation
  */
@@ -31,7 +32,7 @@
   isPublic: true,
 };
 
-/** @param links - the connections that the member accepts, in this order */
+/** @param links - the connections that the member accepts, in order */
 function scene(links: readonly SlowLink[] = [new SlowLink()]): { link: SlowLink; transaction: Transaction } {
   const [link] = links;
   assert.ok(link !== undefined);
@@ -102,7 +103,7 @@
   return { link, transaction: new Transaction(context, options) };
 }
 
-async function turns(): Promise<void> {
+async function drainEventLoop(): Promise<void> {
   for (let turn = 0; turn < 10; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 }
 
@@ -114,29 +115,29 @@
   deadlineMs: 60_000,
 } as const;
 
-/** Lets the client leave after so many answers of the member, then answers the rest. */
-async function leaveAfter(answers: number): Promise<readonly string[]> {
+/** Ends the transaction after the given number of member answers, then answers the remaining requests. */
+async function disconnectAfter(answers: number): Promise<readonly string[]> {
   const { link, transaction } = scene();
   const first = { ...STEP, statement: { kind: 'plain', payload: 'READ t' }, kind: 'read' } as const;
   const work = transaction
     .run(first)
     .then(() => transaction.run(STEP))
     .catch(() => undefined);
-  await turns();
+  await drainEventLoop();
   for (let count = 0; count < answers; count += 1) {
     link.answer();
-    await turns();
+    await drainEventLoop();
   }
   transaction.end();
-  await turns();
-  while (link.answer()) await turns();
+  await drainEventLoop();
+  while (link.answer()) await drainEventLoop();
   await work;
   return link.ran;
 }
 
-test('a client that leaves at any point leaves no statement that runs outside its transaction', async () => {
+test('when a client disconnects at any point, no statement runs outside its transaction', async () => {
   for (let answers = 0; answers <= 6; answers += 1) {
-    const ran = await leaveAfter(answers);
+    const ran = await disconnectAfter(answers);
     assert.ok(
       !ran.some((statement) => statement.endsWith('outside')),
       `after ${answers} answers: ${ran.join()}`,
@@ -148,12 +149,12 @@
 const WRITE = { ...STEP, statement: { kind: 'plain', payload: 'WRITE t d' }, values: NO_VALUES } as const;
 const COMMIT = { ...WRITE, statement: { kind: 'plain', payload: 'COMMIT' }, kind: 'commit' } as const;
 
-/** A transaction that has written, and rests. */
-async function written(): Promise<ReturnType<typeof scene>> {
+/** An idle transaction that has written. */
+async function writtenTransaction(): Promise<ReturnType<typeof scene>> {
   const opened = scene();
   const work = opened.transaction.run(WRITE);
   for (let answers = 0; answers < 2; answers += 1) {
-    await turns();
+    await drainEventLoop();
     opened.link.answer();
   }
   await work;
@@ -171,23 +172,24 @@
 }
 
 /*
- * Users were told that a commit is in doubt though it had never left: the connection of their transaction had ended while the
- * transaction rested. Whatever was lost with a commit counted as a commit whose answer is lost.
+ * Guards against a commit that is reported as in doubt though it was never sent: its connection had closed
+ * while the transaction was idle, and every connection loss during a commit was treated as a lost answer to
+ * the commit.
  */
-test('a commit that finds its connection ended is a promise that nothing is kept', async () => {
-  const { link, transaction } = await written();
+test('a commit whose connection closed before it was sent is refused as not run', async () => {
+  const { link, transaction } = await writtenTransaction();
   link.close();
   const refusal = await refusalOf(transaction.run(COMMIT));
   assert.equal(refusal.code, 'aborted');
   assert.equal(refusal.verdict, 'not_run');
-  assert.ok(refusal.retryAfterMs !== null, 'told when to come back');
+  assert.ok(refusal.retryAfterMs !== null, 'has a retry delay');
   assert.deepEqual(link.ran, ['statement inside']);
 });
 
-test('a commit that was refused as not run, and cannot be sent again, is such a promise too', async () => {
-  const { link, transaction } = await written();
+test('a commit that the member refused as not run, and that cannot be sent again, is refused as not run', async () => {
+  const { link, transaction } = await writtenTransaction();
   const work = refusalOf(transaction.run(COMMIT));
-  await turns();
+  await drainEventLoop();
   link.refuse();
   link.close();
   const refusal = await work;
@@ -195,22 +197,22 @@
   assert.equal(refusal.verdict, 'not_run');
 });
 
-test('a commit that was sent, and whose answer is lost, is in doubt', async () => {
-  const { link, transaction } = await written();
+test('a commit that was sent and whose answer is lost is in doubt', async () => {
+  const { link, transaction } = await writtenTransaction();
   const work = refusalOf(transaction.run(COMMIT));
-  await turns();
+  await drainEventLoop();
   link.close();
   const refusal = await work;
   assert.equal(refusal.code, 'in_doubt');
   assert.equal(refusal.verdict, 'may_have_run');
 });
 
-test('a first statement that finds its connection ended begins on another', async () => {
+test('a transaction whose connection closed before its first statement was sent begins on another', async () => {
   const first = new SlowLink();
   const second = new SlowLink();
   const { transaction } = scene([first, second]);
   const work = transaction.run(WRITE);
-  await turns();
+  await drainEventLoop();
   first.answer();
   first.close();
   while (second.ran.length === 0) {
--- a/src/relay/verdicts.test.ts
+++ b/src/relay/verdicts.test.ts
@@ -1,5 +1,6 @@
 /**
- * Whatever members do, in whatever order: a request that is refused as not run has not run, and a write runs once at most.
+ * For any sequence of member actions, a request that is refused as not run has not run, and a write runs at
+ * most once.
  *
  * @packageDocumentation
  */
@@ -26,8 +27,8 @@
 import { Transaction } from './transaction.js';
 import { WriteRunner } from './write-runner.js';
 
-/** What a member does with the next connection or request that reaches it. */
-const DEEDS = [
+/** Actions of a member on the next connection or request that it receives. */
+const ACTIONS = [
   'refuse',
   'full',
   'busy',
@@ -39,7 +40,7 @@
   'hang',
   'lose',
 ] as const;
-type Deed = (typeof DEEDS)[number];
+type MemberAction = (typeof ACTIONS)[number];
 
 const TIMEOUT_MS = 110;
 const LATE_MS = 40;
@@ -54,22 +55,22 @@
   isPublic: true,
 };
 
-/** Members that follow a script and count what they run. */
+/** A sequence of actions shared by the members of a group, with a count of the statements that they ran. */
 class Script {
   runs = 0;
   #next = 0;
 
-  constructor(private readonly deeds: readonly Deed[]) {}
+  constructor(private readonly actions: readonly MemberAction[]) {}
 
-  take(): Deed {
+  nextAction(): MemberAction {
     this.#next += 1;
-    return this.deeds[(this.#next - 1) % this.deeds.length] ?? 'hang';
+    return this.actions[(this.#next - 1) % this.actions.length] ?? 'hang';
   }
 
   dial(): Promise<MemberLink> {
-    const deed = this.take();
-    if (deed === 'refuse') return Promise.reject(new DialError('refused', 'nobody listens'));
-    if (deed === 'full') return Promise.reject(new DialError('too_many_connections', 'full'));
+    const action = this.nextAction();
+    if (action === 'refuse') return Promise.reject(new DialError('refused', 'connection refused'));
+    if (action === 'full') return Promise.reject(new DialError('too_many_connections', 'full'));
     return Promise.resolve(new ScriptedLink(this));
   }
 }
@@ -77,7 +78,7 @@
 class ScriptedLink implements MemberLink {
   isOpen = true;
   readonly lastReceivedMs = 0;
-  readonly #waiting = new Set<(error: Error) => void>();
+  readonly #pendingRejections = new Set<(error: Error) => void>();
   #onClosed: (isByPeer: boolean) => void = () => undefined;
 
   constructor(private readonly script: Script) {}
@@ -85,14 +86,14 @@
   send(request: MemberRequest): Promise<MemberReply> {
     if (!this.isOpen) return Promise.reject(new NotSentError('not open'));
     const isOfClient = request.kind === 'statement' || request.kind === 'execute';
-    const deed = isOfClient ? this.script.take() : 'run';
-    if (isOfClient && deed.startsWith('run')) this.script.runs += 1;
+    const action = isOfClient ? this.script.nextAction() : 'run';
+    if (isOfClient && action.startsWith('run')) this.script.runs += 1;
     return new Promise((resolve, reject) => {
-      this.#waiting.add(reject);
-      if (deed === 'run') resolve(done(request));
-      if (deed === 'run_late') setTimeout(() => resolve(done(request)), LATE_MS);
-      if (deed === 'busy' || deed === 'behind' || deed === 'read_only') resolve(refused(deed));
-      if (deed === 'run_and_lose' || deed === 'lose') setImmediate(() => this.#end(true));
+      this.#pendingRejections.add(reject);
+      if (action === 'run') resolve(completedReply(request));
+      if (action === 'run_late') setTimeout(() => resolve(completedReply(request)), LATE_MS);
+      if (action === 'busy' || action === 'behind' || action === 'read_only') resolve(refusedReply(action));
+      if (action === 'run_and_lose' || action === 'lose') setImmediate(() => this.#end(true));
     });
   }
 
@@ -107,17 +108,17 @@
   #end(isByPeer: boolean): void {
     if (!this.isOpen) return;
     this.isOpen = false;
-    for (const reject of this.#waiting) reject(new LinkLostError('closed'));
+    for (const reject of this.#pendingRejections) reject(new LinkLostError('closed'));
     this.#onClosed(isByPeer);
   }
 }
 
-function done({ kind }: MemberRequest): MemberReply {
+function completedReply({ kind }: MemberRequest): MemberReply {
   const state = kind === 'begin' || kind === 'statement' ? 'open' : 'idle';
   return { rows: [], result: { isComplete: true, signature: 's' }, state, position: { term: 1, index: 5 } };
 }
 
-function refused(code: MemberErrorCode): MemberReply {
+function refusedReply(code: MemberErrorCode): MemberReply {
   return {
     rows: [],
     result: { isComplete: false, code, text: code },
@@ -126,12 +127,12 @@
   };
 }
 
-/** A group of three whose members share a script. */
+/** A group of three members that share a script. */
 function scene(
-  deeds: readonly Deed[],
+  actions: readonly MemberAction[],
   hasEvidence: boolean,
 ): { script: Script; context: RelayContext; group: MemberGroup } {
-  const script = new Script(deeds);
+  const script = new Script(actions);
   const now = (): number => performance.now();
   const group = testGroup({ leader: script, first: script, second: script }, now);
   if (hasEvidence) group.evidence.witness(1, 0, now());
@@ -151,7 +152,7 @@
   return { script, context, group };
 }
 
-const SCRIPTS = fc.array(fc.constantFrom(...DEEDS), { minLength: 1, maxLength: 8 });
+const SCRIPTS = fc.array(fc.constantFrom(...ACTIONS), { minLength: 1, maxLength: 8 });
 const RUNS = { seed: 7, numRuns: 40 };
 const PLAIN = { kind: 'plain', payload: 'x' } as const;
 
@@ -169,7 +170,7 @@
 function check(script: Script, refusal: Refusal | null): void {
   if (refusal?.verdict === 'not_run' && refusal.code === 'busy')
     assert.equal(script.runs, 0, refusal.message);
-  if (refusal?.code === 'busy') assert.ok(refusal.retryAfterMs !== null, 'told when to come back');
+  if (refusal?.code === 'busy') assert.ok(refusal.retryAfterMs !== null, 'has a retry delay');
 }
 
 test('a read', async () => {
@@ -192,7 +193,7 @@
   await fc.assert(property, RUNS);
 });
 
-test('a write, which also runs once at most', async () => {
+test('a write, which also runs at most once', async () => {
   const property = fc.asyncProperty(SCRIPTS, fc.boolean(), async (deeds, isCommitSlow) => {
     const { script, context, group } = scene(deeds, true);
     if (isCommitSlow) group.commits.sent(performance.now() - 200);
@@ -212,7 +213,7 @@
   await fc.assert(property, RUNS);
 });
 
-test('the first statement of a transaction, which runs on one connection at most', async () => {
+test('the first statement of a transaction, which also runs at most once', async () => {
   const property = fc.asyncProperty(SCRIPTS, fc.boolean(), async (deeds, isReadOnly) => {
     const { script, context, group } = scene(deeds, true);
     const receivedAtMs = performance.now();
