--- a/src/relay/next-life.test.ts
+++ b/src/relay/next-life.test.ts
@@ -1,10 +1,12 @@
 /**
- * Reads at a process that has started again, empty, under the id of the leader: evidence of the lead names an id and a term, and the directory
- * tells of the next life some milliseconds later than connections to it can be opened.
+ * Reads at a process that has restarted with an empty log under the id of the leader. Leadership evidence
+ * names an id and a term, and the directory announces the restarted process some milliseconds after it
+ * accepts connections.
  *
- * Users read versions that had long been replaced (soak reborn 5001: `saw version 0, 2 was acknowledged in time`, and the position 0.0 of
- * such an answer was the floor of reads at replicas for the next second). Cause: a leader that had been announced with an empty log, or of which nothing
- * had been heard, was asked for no position; so its next life, which holds nothing, passed for it. Evidence: `order kind=leader held=0.0`, then
+ * Guards against stale reads (soak profile `reborn`, seed 5001: `saw version 0, 2 was acknowledged in time`;
+ * the position 0.0 of such an answer was then the floor of reads at replicas for the next second). Reads at a
+ * leader that had been announced with an empty log, or had reported no position, required no position, so its
+ * empty restarted process was taken for the leader. The log showed `order kind=leader held=0.0`, then
  * `read_at leader=true`, then `read_at leader=false floor=0.0`.
  *
  * @packageDocumentation
@@ -24,12 +26,12 @@
 
 const TERM = 1;
 const COMMIT: Position = { term: TERM, index: 9 };
-/** Time of a request, in milliseconds: some rounds of it. */
+/** Time-out of a request, in milliseconds; long enough for several retries. */
 const TIMEOUT_MS = 120;
 
-/** A process that answers at once, with what it holds. */
+/** A process that answers every request at once with its log position. */
 class FakeProcess {
-  readonly asked: MemberRequest[] = [];
+  readonly requests: MemberRequest[] = [];
   /** Runs before each answer to a statement. */
   beforeAnswer: () => void = () => undefined;
 
@@ -48,7 +50,7 @@
   }
 
   get statements(): number {
-    return this.asked.filter(({ kind }) => kind === 'statement').length;
+    return this.requests.filter(({ kind }) => kind === 'statement').length;
   }
 
   dial(): Promise<MemberLink> {
@@ -59,13 +61,13 @@
       },
       lastReceivedMs: 0,
       send: (request: MemberRequest): Promise<MemberReply> => {
-        this.asked.push(request);
+        this.requests.push(request);
         if (request.kind === 'statement') this.beforeAnswer();
         const state = request.kind === 'begin' || request.kind === 'statement' ? 'open' : 'idle';
         return Promise.resolve({
           rows: request.kind === 'status' ? [JSON.stringify(this.status)] : [],
           result: { isComplete: true as const, signature: 's' },
-          state: this.asked.some(({ kind }) => kind === 'begin') ? state : ('idle' as const),
+          state: this.requests.some(({ kind }) => kind === 'begin') ? state : ('idle' as const),
           position: this.position,
         });
       },
@@ -92,7 +94,7 @@
   readonly context: RelayContext;
 }
 
-/** A group with evidence of its leader; the leader has said that it holds `held`, or nothing. */
+/** A group with valid evidence for its leader, which has reported the position `held`, or none. */
 function scene(process: FakeProcess, held: Position | null): Scene {
   const now = (): number => performance.now();
   const group = testGroup({ leader: process }, now);
@@ -146,10 +148,10 @@
 }
 
 for (const held of [null, ZERO_POSITION]) {
-  const known = held === null ? 'of which nothing is known' : 'that was announced with an empty log';
+  const known = held === null ? 'that has reported no position' : 'that was announced with an empty log';
 
-  describe(`the empty next life of a leader ${known}`, () => {
-    /** Before: served with what the empty process held. */
+  describe(`a restarted, empty process under the id of a leader ${known}`, () => {
+    /** Guards against reads served from the empty log. */
     test('answers no read', async () => {
       await assert.rejects(read(scene(new FakeProcess(ZERO_POSITION, false), held)));
     });
@@ -160,46 +162,52 @@
       assert.equal(process.statements, 0);
     });
 
-    /** Before: 0.0 was what replicas had to hold. */
+    /** Guards against 0.0 as the floor of reads at replicas. */
     test('gives no floor', async () => {
-      const there = scene(new FakeProcess(ZERO_POSITION, false), held);
-      await read(there).catch(() => undefined);
-      assert.equal(there.group.positions.floorSince(0), null);
+      const target = scene(new FakeProcess(ZERO_POSITION, false), held);
+      await read(target).catch(() => undefined);
+      assert.equal(target.group.positions.floorSince(0), null);
     });
   });
 
   describe(`a leader ${known}`, () => {
-    test('is read when it says that it leads, though its log is empty', async () => {
+    test('serves reads with an empty log when its status says that it leads', async () => {
       const process = new FakeProcess(ZERO_POSITION, true);
-      const there = scene(process, held);
-      assert.ok((await read(there)).result.isComplete);
+      const target = scene(process, held);
+      assert.ok((await read(target)).result.isComplete);
       assert.ok((await begin(scene(new FakeProcess(ZERO_POSITION, true), held))).result.isComplete);
-      assert.deepEqual(there.group.positions.floorSince(0)?.position, ZERO_POSITION);
+      assert.deepEqual(target.group.positions.floorSince(0)?.position, ZERO_POSITION);
     });
 
-    test('is read without a further question when it holds something', async () => {
+    test('serves reads without a status request when its log is not empty', async () => {
       const process = new FakeProcess(COMMIT, true);
-      const there = scene(process, held);
-      assert.ok((await read(there)).result.isComplete);
-      assert.ok(process.asked.every(({ kind }) => kind !== 'status'));
-      assert.deepEqual(there.group.positions.floorSince(0)?.position, COMMIT);
+      const target = scene(process, held);
+      assert.ok((await read(target)).result.isComplete);
+      assert.ok(process.requests.every(({ kind }) => kind !== 'status'));
+      assert.deepEqual(target.group.positions.floorSince(0)?.position, COMMIT);
     });
 
-    /** A next life that copies the log of the next leader holds something, but not yet what the former one had acknowledged. */
+    /**
+     * A restarted process that copies the log of the new leader has a non-empty log, but may still lack
+     * commits that the former leader had acknowledged.
+     */
     test('is not read by an answer that comes when it may have been replaced', async () => {
       const process = new FakeProcess(COMMIT, true);
-      const there = scene(process, held);
-      process.beforeAnswer = () => there.group.evidence.revoke(TERM, performance.now());
-      await assert.rejects(read(there));
-      assert.equal(there.group.positions.floorSince(0), null);
+      const target = scene(process, held);
+      process.beforeAnswer = () => target.group.evidence.revoke(TERM, performance.now());
+      await assert.rejects(read(target));
+      assert.equal(target.group.positions.floorSince(0), null);
     });
   });
 }
 
-describe('a position that a leader gave', () => {
+describe('a position reported by a leader', () => {
   const LEADER = { memberId: 'leader', term: TERM };
 
-  /** An answer of the next life that comes after the next leader was announced was compared with nothing. */
+  /**
+   * Guards against a floor from an answer of the restarted process that arrives after the new leader was
+   * announced: there was no position of the new leader yet to compare it with.
+   */
   test('is no floor once another leads', () => {
     const { group } = scene(new FakeProcess(COMMIT, true), COMMIT);
     group.learnLeader({ memberId: 'other', term: TERM + 1 }, null);
