--- a/src/relay/read-runner.ts
+++ b/src/relay/read-runner.ts
@@ -77,7 +77,7 @@
 const NO_HEDGE_MS = 60_000;
 
 const ANSWERED_ELSEWHERE = 'answered by another member';
-const NO_LEADER_EVIDENCE = 'no valid evidence for the leader';
+const NO_LEADER_EVIDENCE = 'no evidence of the leader';
 
 /** Limit on concurrent attempts of one read. */
 const MAX_PARALLEL = 2;
@@ -356,8 +356,7 @@
     const asLeader = job.group.leader(context.now()) === member;
     const leader = asLeader ? job.group.evidence.leader : null;
     const floor = asLeader ? null : readFloor(job.group, job.route, job.sessionFloor, job.receivedAtMs);
-    if (!asLeader && floor === null)
-      return { kind: 'not_run', reason: 'no recent position of the leader is known', members };
+    if (!asLeader && floor === null) return { kind: 'not_run', reason: 'no position of the leader', members };
     context.observer.routine({
       requestId: job.requestId,
       decision: 'read_at',
@@ -382,7 +381,7 @@
       const { result, position } = reply.reply;
       if (leader !== null && result.isComplete && !isNonEmptyLog(after)) {
         const isVerified = await verifyLeaderIncarnation(context, job.group, leader, link, position);
-        if (!isVerified) return { kind: 'lost', reason: 'may be another incarnation of the leader', members };
+        if (!isVerified) return { kind: 'lost', reason: 'perhaps another life of the leader', members };
       }
       const attempt = this.#classifyReply(member, leader, floor, reply.reply, reply.sentAtMs);
       if (attempt.kind === 'not_run') this.#possiblyRunCount -= 1;
--- a/src/relay/session.ts
+++ b/src/relay/session.ts
@@ -451,7 +451,7 @@
     const answer = this.#authorization(begin.route);
     if (!(answer instanceof Refusal)) {
       if (answer.tenantName === begin.tenantName) return;
-      throw new Refusal('aborted', 'not_run', 'the key now belongs to another tenant', RETRY_AFTER_MS);
+      throw new Refusal('aborted', 'not_run', 'the key has passed to another tenant', RETRY_AFTER_MS);
     }
     if (answer.code === 'unauthorized') throw answer;
     throw new Refusal('aborted', 'not_run', answer.message, answer.retryAfterMs);
@@ -511,7 +511,7 @@
 
 function requireCapacity(names: ReadonlyMap<string, unknown>, name: string): void {
   if (names.size >= MAX_SESSION_NAMES && !names.has(name))
-    throw new Refusal('too_large', 'not_run', 'too many names are defined in this session');
+    throw new Refusal('too_large', 'not_run', 'too many names in this session');
 }
 
 /** @param isRolledBack - whether an error means that the transaction is rolled back */
--- a/src/relay/transaction.ts
+++ b/src/relay/transaction.ts
@@ -267,9 +267,9 @@
     const { group, route, isReadOnly } = options;
     const { member, link, isLeader } = pinned;
     await link.adoptValues(step.values);
-    if (isLeader && group.leader(context.now()) !== member) return 'no valid evidence for the leader';
+    if (isLeader && group.leader(context.now()) !== member) return 'no evidence of the leader';
     const floor = isLeader ? null : readFloor(group, route, options.sessionFloor, options.receivedAtMs);
-    if (!isLeader && floor === null) return 'no recent position of the leader is known';
+    if (!isLeader && floor === null) return 'no position of the leader';
     context.observer.routine({
       requestId: step.requestId,
       decision: 'begin_at',
@@ -282,11 +282,11 @@
     const reply = await link.send({ kind: 'begin', isReadOnly, after });
     recordReplicaProgress(member, floor, reply, context.now());
     if (reply.result.isComplete) {
-      if (reply.state !== 'open') return 'transaction did not open';
+      if (reply.state !== 'open') return 'did not begin';
       // Only a primary accepts a read-write transaction, so its incarnation needs no check.
       if (!isLeader || !isReadOnly || isNonEmptyLog(after) || leader === null) return null;
       const isVerified = await verifyLeaderIncarnation(context, group, leader, link, reply.position);
-      return isVerified ? null : 'may be another incarnation of the leader';
+      return isVerified ? null : 'perhaps another life of the leader';
     }
     if (reply.result.code === 'read_only') context.suspect(group, member, 'read_only');
     if (isLeader && hasLostLog(reply)) context.suspect(group, member, 'lost_log');
--- a/src/relay/write-runner.ts
+++ b/src/relay/write-runner.ts
@@ -33,7 +33,7 @@
 export const LEADER_RESERVE_MS = 60;
 
 /** Reason of the refusal when a commit that the leader has completed cannot be acknowledged. */
-export const LEADER_REPLACED = 'the leader is being replaced, and the new leader may not have this commit';
+export const LEADER_REPLACED = 'the leader is being replaced, perhaps without it';
 
 /**
  * Start of a wait for the leader in monotonic milliseconds, and the time-out of the request in milliseconds.
@@ -174,7 +174,7 @@
     try {
       const sent = await sendStatement(link, job.statement, job.requestId, job.values, null, () => {
         if (this.#isAbandoned) return 'the request was abandoned';
-        if (job.group.leader(context.now()) !== leader) return 'no valid evidence for the leader';
+        if (job.group.leader(context.now()) !== leader) return 'no evidence of the leader';
         this.#wasSent = true;
         sentAtMs = context.now();
         return null;
