--- a/src/relay/link-queue.test.ts
+++ b/src/relay/link-queue.test.ts
@@ -1,5 +1,5 @@
 /**
- * Who gets the next connection.
+ * Which waiting request is granted the next connection.
  *
  * @packageDocumentation
  */
@@ -18,24 +18,24 @@
   }));
 }
 
-test('nobody waits', () => {
+test('without waiting requests there is none to serve', () => {
   assert.equal(nextToServe([], 0, SERVICE_MS), -1);
 });
 
-test('the most urgent goes first, then the one whose objective ends soonest', () => {
+test('the most urgent request goes first, then the one that is due first', () => {
   assert.equal(nextToServe(waiting([2, 100], [1, 500]), 0, SERVICE_MS), 1);
   assert.equal(nextToServe(waiting([2, 500], [2, 100]), 0, SERVICE_MS), 1);
 });
 
-test('what cannot be in time any more waits behind what can, however urgent it is', () => {
+test('late requests are served after those that can meet their objective, whatever their priority', () => {
   assert.equal(nextToServe(waiting([1, 110], [2, 200]), 100, SERVICE_MS), 1);
 });
 
-test('late ones are served among themselves by priority and age', () => {
+test('late requests are served by priority and then by due time', () => {
   assert.equal(nextToServe(waiting([2, 10], [1, 50], [1, 40]), 1000, SERVICE_MS), 2);
 });
 
-test('nobody who can still be in time is passed over for somebody who cannot', () => {
+test('a request that can meet its objective is never passed over for one that cannot', () => {
   const demand = fc.tuple(fc.integer({ min: 0, max: 3 }), fc.integer({ min: 0, max: 1000 }));
   fc.assert(
     fc.property(
@@ -45,10 +45,10 @@
         const waiters = waiting(...all);
         const chosen = waiters[nextToServe(waiters, now, SERVICE_MS)]?.demand;
         assert.ok(chosen !== undefined);
-        const canBeInTime = (demand: LinkDemand): boolean => demand.dueAtMs >= now + SERVICE_MS;
-        const rivals = waiters.filter(({ demand }) => canBeInTime(demand) === canBeInTime(chosen));
-        if (waiters.some((waiter) => canBeInTime(waiter.demand))) assert.ok(canBeInTime(chosen));
-        for (const rival of rivals) assert.ok(rival.demand.priority >= chosen.priority);
+        const canMeetObjective = (demand: LinkDemand): boolean => demand.dueAtMs >= now + SERVICE_MS;
+        const others = waiters.filter(({ demand }) => canMeetObjective(demand) === canMeetObjective(chosen));
+        if (waiters.some((waiter) => canMeetObjective(waiter.demand))) assert.ok(canMeetObjective(chosen));
+        for (const other of others) assert.ok(other.demand.priority >= chosen.priority);
       },
     ),
     { seed: 1 },
--- a/src/relay/link-queue.ts
+++ b/src/relay/link-queue.ts
@@ -1,31 +1,38 @@
 /**
- * The order in which requests that wait for a member connection get one. Pure.
+ * Order in which requests that wait for a member connection are served. Pure.
  *
- * Where connections are short, serving in order of arrival makes everybody late by the same time. So those that can still
- * be answered within their latency objective go first, by priority and then by how soon their objective ends; those that
- * cannot be any more get what is left.
+ * If connections are scarce, serving in order of arrival delays all requests equally, beyond their latency
+ * objectives. So requests that can still meet their objective go first, by priority and then by due time.
+ * Requests that have missed it are served with the remaining capacity, in the same order.
  *
  * @packageDocumentation
  */
 import type { Route } from '../topology/catalog.js';
 import type { SessionValues } from './session-link.js';
 
-/** What a request wants of a connection. */
+/** The requirements of a request on its connection, and its place in the queue. */
 export interface LinkDemand {
   /**
-   * Name of the tenant that the connection has to belong to; `null` where any will do, for questions of the daemon's own.
+   * Name of the tenant that the connection has to belong to; `null` for requests of the daemon itself, which
+   * can use any.
    */
   readonly tenantName: string | null;
   readonly values: SessionValues;
-  /** It may wait for replicas at the leader: a write, or a transaction that may hold one. */
+  /**
+   * True if the request may have to wait for replicas at the leader: a write, or a transaction that may
+   * contain one.
+   */
   readonly isWrite: boolean;
-  /** Of its route; 0 is the most urgent. */
+  /** Priority of the route; 0 is the most urgent. */
   readonly priority: number;
-  /** When its latency objective ends, in monotonic milliseconds. */
+  /** When the reply is due by the latency objective, in monotonic milliseconds. */
   readonly dueAtMs: number;
 }
 
-/** When the latency objective of a request ends that has to be answered by `deadlineMs`, in monotonic milliseconds. */
+/**
+ * When a request that must be answered by `deadlineMs` is due by its latency objective, in monotonic
+ * milliseconds.
+ */
 export function dueAt(
   { targetLatencyMs, timeoutMs }: Pick<Route, 'targetLatencyMs' | 'timeoutMs'>,
   deadlineMs: number,
@@ -34,9 +41,9 @@
 }
 
 /**
- * Where the next to be served stands among those that wait; -1 when nobody does.
+ * Index of the waiting request to serve next; -1 if none waits.
  *
- * @param serviceMs - time that the member takes for an answer
+ * @param serviceMs - expected latency of the member's replies
  */
 export function nextToServe(
   waiters: readonly { readonly demand: LinkDemand }[],
@@ -46,15 +53,15 @@
   let best = -1;
   let bestDemand: LinkDemand | null = null;
   for (const [index, { demand }] of waiters.entries()) {
-    if (bestDemand !== null && !goesBefore(demand, bestDemand, nowMs + serviceMs)) continue;
+    if (bestDemand !== null && !precedes(demand, bestDemand, nowMs + serviceMs)) continue;
     best = index;
     bestDemand = demand;
   }
   return best;
 }
 
-/** @param answeredAtMs - when a request that is served now is answered */
-function goesBefore(one: LinkDemand, other: LinkDemand, answeredAtMs: number): boolean {
+/** @param answeredAtMs - when a request that is served now is expected to be answered */
+function precedes(one: LinkDemand, other: LinkDemand, answeredAtMs: number): boolean {
   const isLate = one.dueAtMs < answeredAtMs;
   if (isLate !== other.dueAtMs < answeredAtMs) return !isLate;
   if (one.priority !== other.priority) return one.priority < other.priority;
--- a/src/relay/member-link.ts
+++ b/src/relay/member-link.ts
@@ -1,5 +1,5 @@
 /**
- * The port through which the relay talks to a database member: typed requests, typed replies.
+ * Interface between the relay and a database member: typed requests and typed replies.
  *
  * @packageDocumentation
  */
@@ -17,7 +17,7 @@
       readonly kind: 'statement';
       readonly requestId: string;
       readonly payload: string;
-      /** The member has to hold this position, or refuses. */
+      /** Position that the member must have reached; otherwise it refuses. */
       readonly after: Position | null;
     }
   | {
@@ -33,7 +33,7 @@
   | { readonly kind: 'demote'; readonly term: number };
 
 /**
- * Why a member did not do what it was asked.
+ * Why a member did not complete a request.
  *
  * `busy`, `behind`, `read_only`, `unknown_name`, `wrong_member` and `too_many_connections`: not run.
  * `failed`, `timed_out` and `other`: may have run.
@@ -49,36 +49,36 @@
   | 'timed_out'
   | 'other';
 
-/** How a request to a member ended. */
+/** Outcome of a request to a member. */
 export type MemberResult =
   | { readonly isComplete: true; readonly signature: string }
   | { readonly isComplete: false; readonly code: MemberErrorCode; readonly text: string };
 
-/** A whole answer of a member. */
+/** A complete reply of a member. */
 export interface MemberReply {
   readonly rows: readonly string[];
   readonly result: MemberResult;
   readonly state: TransactionState;
-  /** Position in the member's log when it answered. */
+  /** Position in the member's log at the time of the reply. */
   readonly position: Position | null;
 }
 
-/** What a member says of itself. */
+/** The state that a member reports about itself. */
 export interface MemberStatus {
   readonly isPrimary: boolean;
   readonly term: number;
-  /** What it has received of the log. */
+  /** Position up to which it has received the log. */
   readonly received: Position;
-  /** The term of the promotion that paused it; 0 for none. */
+  /** Term of the promotion for which it is paused; 0 if it is not paused. */
   readonly pausedForTerm: number;
 }
 
-/** The connection ended, or was given up, before the answer was whole: the request may have run. */
+/** The connection was lost or closed before the reply was complete: the request may have run. */
 export class LinkLostError extends Error {
   override readonly name: string = 'LinkLostError';
 }
 
-/** The connection had ended before the request left: the member has not been sent it, and never will be. */
+/** The connection was already closed when the request was to be sent: the member never receives it. */
 export class NotSentError extends LinkLostError {
   override readonly name = 'NotSentError';
 }
@@ -88,8 +88,9 @@
   override readonly name = 'DialError';
 
   /**
-   * @param reason - `refused`: the host answered that nothing listens; `silent`: no answer in time; `slow`: the host
-   * took the connection, but the member did not accept the session in time
+   * @param reason - `refused`: the host reported that nothing listens on the port; `silent`: the host did not
+   * answer in time; `slow`: the host accepted the connection, but the member did not accept the session in
+   * time
    */
   constructor(
     readonly reason:
@@ -100,24 +101,28 @@
   }
 }
 
-/** One connection to a member. Requests are answered in the order in which they were sent. */
+/** A connection to a member. Replies arrive in the order of the requests. */
 export interface MemberLink {
   readonly isOpen: boolean;
-  /** Monotonic time at which bytes last arrived, in milliseconds. */
+  /** When bytes were last received, in monotonic milliseconds. */
   readonly lastReceivedMs: number;
   /**
    * Sends a request.
    *
-   * @throws {@link LinkLostError} when the connection ends first; {@link NotSentError} when it had ended before
+   * @throws {@link LinkLostError} if the connection ends before the reply; {@link NotSentError} if it had
+   * ended before the call
    */
   send(request: MemberRequest): Promise<MemberReply>;
-  /** Ends the connection; the member rolls back what is open. */
+  /** Closes the connection; the member rolls back an open transaction. */
   close(): void;
-  /** Sets who is told, once, that the connection has ended, and whether the member or the way to it ended it. */
+  /**
+   * Sets the listener that is called once when the connection has ended; `isByPeer` is true if the member or
+   * the network ended it.
+   */
   onClosed(listener: (isByPeer: boolean) => void): void;
 }
 
-/** Where a member is reached. */
+/** Network address of a member. */
 export interface MemberAddress {
   readonly memberId: string;
   readonly groupName: string;
@@ -125,28 +130,32 @@
   readonly port: number;
 }
 
-/** A member, and on whose behalf it is connected to. */
+/** A member and the tenant for which a connection to it is opened. */
 export interface DialTarget extends MemberAddress {
-  /** Name of the tenant that the member is told, for the life of the connection; empty where there is none. */
+  /**
+   * Tenant name that is sent to the member and fixed for the lifetime of the connection; empty without a
+   * tenant.
+   */
   readonly tenantName: string;
 }
 
 /** Opens connections to members. */
 export interface MemberDialer {
   /**
-   * @param timeoutMs - longest wait for the host to take the connection
-   * @param acceptMs - longest wait for the member to accept the session, from the start; the same where it is not given
+   * @param timeoutMs - timeout for the host to accept the connection
+   * @param acceptMs - timeout for the member to accept the session, from the start of the call; defaults to
+   * `timeoutMs`
    * @throws {@link DialError}
    */
   dial(target: DialTarget, timeoutMs: number, acceptMs?: number): Promise<MemberLink>;
 }
 
-/** Reads the status out of a reply, or `null` when the member refused. */
+/** Parses the status in a reply; returns `null` if the member refused the request. */
 export type StatusReader = (reply: MemberReply) => MemberStatus | null;
 
 /**
- * True when a member lacks what a statement asked for because it holds nothing at all: the process that did goes by its id no more. One
- * that holds something may only be late to apply it.
+ * True if a member has not reached the required position because its log is empty: the process that had the
+ * log no longer runs under this member id. A member with a non-empty log may only be late in applying it.
  */
 export function hasLostLog({ result, position }: MemberReply): boolean {
   const holdsNothing = position === null || position.index === 0;
--- a/src/relay/planned-stop.test.ts
+++ b/src/relay/planned-stop.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { planStop } from './planned-stop.js';
 
-test('a stop ends the sessions at rest, then the statements, then all requests, before the kill', () => {
+test('a shutdown closes idle sessions, then stops statements, then ends all requests before the kill', () => {
   const plan = planStop(1000, 6000);
   assert.deepEqual(plan, {
     drainAtMs: 3200,
@@ -12,7 +12,7 @@
   });
 });
 
-test('a short grace time keeps the order', () => {
+test('a short grace period keeps the order', () => {
   const plan = planStop(0, 1000);
   assert.ok(plan.drainAtMs < plan.lastStatementAtMs);
   assert.ok(plan.lastStatementAtMs < plan.lastAnswerAtMs);
--- a/src/relay/planned-stop.ts
+++ b/src/relay/planned-stop.ts
@@ -1,48 +1,55 @@
 /**
- * The times of a planned stop, as shares of the grace time after which the process is killed. Pure.
+ * Schedule of a graceful shutdown, as shares of the grace period after which the process is killed. Pure.
  *
- * Each session is brought to its end by the daemon: who is not asked to end is cut at the kill, whatever it is doing then.
+ * The daemon ends each session itself. A session that is still open when the process is killed loses its
+ * connection, whatever is running on it.
  *
  * @packageDocumentation
  */
 
-/** Time in which the platform learns that no new connections are wanted, in milliseconds: two of its questions, one a second. */
-const UNLIST_MS = 2200;
-/** The same at most, as a share of the grace time. */
-const UNLIST_SHARE = 0.5;
 /**
- * Until when statements are still run, as a share: an open transaction is promised the first half of the grace time, and
- * what is begun then has 0.9 s of 6 s left for its answer.
+ * Time for the platform to learn that this daemon accepts no new connections, in milliseconds: two of its
+ * readiness checks, which it sends once a second.
+ */
+const DRAIN_DELAY_MS = 2200;
+/** Upper limit of this time, as a share of the grace period. */
+const MAX_DRAIN_DELAY_SHARE = 0.5;
+/**
+ * Until when statements are run, as a share. Open transactions are guaranteed the first half of the grace
+ * period, and a statement that starts at the cutoff has 0.9 s of a 6 s grace period left for its reply.
+ */
+const STATEMENT_CUTOFF_SHARE = 0.7;
+/** Until when every request has been answered, as a share. */
+const REPLY_DEADLINE_SHARE = 0.85;
+/**
+ * Until when replies may be sent, as a share; the rest is a margin for timers that fire late when CPU time is
+ * scarce.
  */
-const LAST_STATEMENT_SHARE = 0.7;
-/** Until when every request has its answer, as a share. */
-const LAST_ANSWER_SHARE = 0.85;
-/** Until when the answers may leave, as a share: a process of little processor time is late with its timers, too. */
 const EXIT_SHARE = 0.94;
 
-/** When a daemon that was told to stop does what; monotonic milliseconds. */
+/** The times of a shutdown, in monotonic milliseconds. */
 export interface PlannedStop {
-  /** From then on sessions at rest are ended, and no new ones begun. */
+  /** From then on idle sessions are closed and new ones are rejected. */
   readonly drainAtMs: number;
-  /** From then on nothing is run but the commits of open transactions. */
+  /** From then on only commits and rollbacks of open transactions are run. */
   readonly lastStatementAtMs: number;
-  /** Every request has its answer by then, if only that it is in doubt. */
+  /** By then every request has been answered, if necessary with an unknown outcome (`in_doubt`). */
   readonly lastAnswerAtMs: number;
-  /** The process ends by then. */
+  /** By then the process has exited. */
   readonly exitAtMs: number;
 }
 
 /**
- * The plan of a stop.
+ * Computes the schedule of a shutdown.
  *
- * @param nowMs - when the daemon was told to stop
+ * @param nowMs - when the daemon was asked to stop
  * @param graceMs - time until the process is killed
  */
 export function planStop(nowMs: number, graceMs: number): PlannedStop {
   return {
-    drainAtMs: nowMs + Math.min(UNLIST_MS, graceMs * UNLIST_SHARE),
-    lastStatementAtMs: nowMs + graceMs * LAST_STATEMENT_SHARE,
-    lastAnswerAtMs: nowMs + graceMs * LAST_ANSWER_SHARE,
+    drainAtMs: nowMs + Math.min(DRAIN_DELAY_MS, graceMs * MAX_DRAIN_DELAY_SHARE),
+    lastStatementAtMs: nowMs + graceMs * STATEMENT_CUTOFF_SHARE,
+    lastAnswerAtMs: nowMs + graceMs * REPLY_DEADLINE_SHARE,
     exitAtMs: nowMs + graceMs * EXIT_SHARE,
   };
 }
--- a/src/relay/relay-context.ts
+++ b/src/relay/relay-context.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of the relay share.
+ * Dependencies that the parts of the relay share.
  *
  * @packageDocumentation
  */
@@ -10,57 +10,57 @@
 import type { StatusReader } from './member-link.js';
 import type { PlannedStop } from './planned-stop.js';
 
-/** One decision that touches a request. */
+/** A decision about a request, with the inputs that led to it. */
 export interface Decision {
   readonly requestId: string;
   readonly decision: string;
   readonly [input: string]: string | number | boolean | null | undefined;
 }
 
-/** Where decisions are told and counted. */
+/** Logs and counts decisions. */
 export interface RelayObserver {
-  /** A decision about a request that goes well: may be left out of the log under load. */
+  /** A decision about a request without problems: the log may omit it under load. */
   routine(decision: Decision): void;
-  /** A decision about a request that is in trouble. */
+  /** A decision about a request that has run into a problem. */
   notable(decision: Decision): void;
-  /** The time of an answer of a member, in milliseconds. */
+  /** Records the latency of a member's reply, in milliseconds. */
   memberAnswered(kind: string, isLeader: boolean, ms: number): void;
-  /** A request has ended; `outcome` is `served` or the code of its refusal. */
+  /** Records the end of a request; `outcome` is `served` or the code of its refusal. */
   requestEnded(statement: string, outcome: string, ms: number): void;
 }
 
-/** What the parts of the relay share. */
+/** Dependencies that sessions, transactions and request runners of one daemon share. */
 export interface RelayContext {
   readonly catalog: Catalog;
-  /** For how long the configuration may be acted on. */
+  /** Tells whether the configuration may still be acted on. */
   readonly configurationLease: Pick<ConfigurationLease, 'isProven'>;
-  /** What tenants may still have run. */
+  /** Remaining operations of the tenants. */
   readonly quotas: OperationQuotas;
   readonly zone: string;
   readonly observer: RelayObserver;
-  /** The group of a name; groups come and go with the configuration. */
+  /** Returns a group by name, or `null`. Configuration changes add and remove groups. */
   group(name: string): MemberGroup | null;
-  /** The plan by which this daemon stops; `null` while it goes on. */
+  /** The schedule of the shutdown in progress; `null` before a shutdown. */
   plannedStop(): PlannedStop | null;
   /** Monotonic time, in milliseconds. */
   now(): number;
-  /** Reads what a member says of itself. */
+  /** Parses a member's reply to a status request. */
   readonly readStatus: StatusReader;
-  /** A member went silent, refused connections or denied its lead. */
+  /** Reports a member that did not answer, refused connections or denied being the leader. */
   suspect(group: MemberGroup, member: Member, reason: string): void;
 }
 
-/** Pause before members that refused are asked again, in milliseconds. */
+/** Delay before a request is retried at members that refused it, in milliseconds. */
 export const RETRY_PAUSE_MS = 15;
 
-/** How long the answer to a request that its client no longer waits for may occupy a connection, in milliseconds. */
+/** How long a connection may stay in use for a reply that the client no longer waits for, in milliseconds. */
 export const LATE_ANSWER_MS = 300;
 
 /**
- * Advice to a client that is turned away since the configuration cannot be shown to be the newest, in milliseconds: a renewal
- * of the proof is tried more often.
+ * Retry delay suggested to a client that is rejected because the configuration cannot be proven to be the
+ * newest, in milliseconds. The proof is renewed at shorter intervals than this.
  */
 export const UNPROVEN_RETRY_AFTER_MS = 250;
 
-/** Advice to a client whose request was not run, in milliseconds. */
+/** Retry delay suggested to a client whose request was not run, in milliseconds. */
 export const RETRY_AFTER_MS = 50;
--- a/src/relay/session-link.ts
+++ b/src/relay/session-link.ts
@@ -1,5 +1,6 @@
 /**
- * A member connection as a session uses it: one of this daemon's own, or one that a gateway lends.
+ * A member connection as used by a session: a direct connection of this daemon, or one on loan from a
+ * gateway.
  *
  * @packageDocumentation
  */
@@ -9,28 +10,29 @@
 /** Session values by name. */
 export type SessionValues = ReadonlyMap<string, string>;
 
-/** A connection in exclusive use. */
+/** A connection in exclusive use by a session. */
 export interface SessionLink {
-  /** True while it can be used. */
   readonly isOpen: boolean;
-  /** True when nothing is under way and no transaction is open. */
+  /** True if the connection is open, no request is in flight and no transaction is open. */
   readonly isClean: boolean;
-  /** Transaction state after the last answer. */
+  /** Transaction state after the last reply. */
   readonly state: TransactionState;
   /**
-   * Gives the connection exactly these values; nothing of an earlier session is left.
+   * Sets exactly these session values and removes those of earlier sessions.
    *
    * @throws LinkLostError
    */
   adoptValues(values: SessionValues): Promise<void>;
   /**
-   * Makes sure that a shape is prepared, and returns its name at the member.
+   * Prepares a statement unless that is already done, and returns its name at the member.
    *
    * @throws LinkLostError
    */
   prepare(prepared: PreparedShape): Promise<string>;
-  /** @throws LinkLostError; NotSentError, which is one too, when the member has certainly not been sent the request */
+  /**
+   * @throws LinkLostError; its subclass NotSentError if the request has certainly not been sent to the member
+   */
   send(request: MemberRequest): Promise<MemberReply>;
-  /** Ends it; the member rolls back what is open. */
+  /** Closes the connection; the member rolls back an open transaction. */
   close(): void;
 }
