--- a/src/relay/leader-doubts.test.ts
+++ b/src/relay/leader-doubts.test.ts
@@ -1,5 +1,6 @@
 /**
- * Of which members this daemon tells that something is wrong.
+ * Which member failures the failure detector reports. Failures of an ended incarnation must not be attributed
+ * to the next incarnation, which has the same member id and may be the leader.
  *
  * @packageDocumentation
  */
@@ -7,17 +8,17 @@
 import { test } from 'node:test';
 import type { Suspicion } from '../cluster/peer-mesh.js';
 import { ListedMembers, entryOf } from '../../test/support/listed-members.js';
-import { LeaderDoubts } from './leader-doubts.js';
+import { FailureDetector } from './leader-doubts.js';
 
 test('trouble with a life that has ended says nothing of the next one, which may lead', () => {
   const scene = new ListedMembers();
-  const told: Suspicion[] = [];
+  const reported: Suspicion[] = [];
   const woken: string[] = [];
-  const doubts = new LeaderDoubts({
+  const doubts = new FailureDetector({
     ownName: 'd',
     tickMs: 50,
-    tell: (suspicion) => void told.push(suspicion),
-    wake: (groupName) => void woken.push(groupName),
+    report: (suspicion) => void reported.push(suspicion),
+    wakeWatcher: (groupName) => void woken.push(groupName),
     log: () => undefined,
     now: () => scene.now,
   });
@@ -28,8 +29,8 @@
   group.evidence.believe({ memberId: 'm', term: 4 });
   for (const reason of ['lost', 'silent', 'refused', 'read_only']) doubts.suspect(group, old, reason);
   assert.deepEqual(group.evidence.leader, { memberId: 'm', term: 4 });
-  assert.deepEqual([told, woken], [[], []]);
+  assert.deepEqual([reported, woken], [[], []]);
   assert.equal(scene.member().isAvoided(scene.now), false);
   doubts.suspect(group, scene.member(), 'lost');
-  assert.equal(told.length, 1);
+  assert.equal(reported.length, 1);
 });
--- a/src/relay/leader-doubts.ts
+++ b/src/relay/leader-doubts.ts
@@ -1,70 +1,71 @@
 /**
- * What this daemon finds wrong with members: it keeps requests away from them for a while, and tells the holder of the
- * promotion duty when a leader is concerned.
+ * Detects members that fail or do not answer. Requests avoid such a member for a while; if it is a leader, it
+ * is also reported to the holder of the promotion duty.
  *
  * @packageDocumentation
  */
 import type { Suspicion, SuspicionReason } from '../cluster/peer-mesh.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 
-/** Least time between two of the same doubts about a group, in milliseconds. */
-const TELL_MS = 80;
-/** Silence after which the holder of the duty is told to look at a leader, in milliseconds. */
-const LEADER_SILENCE_MS = 200;
-/** Share of failed requests from which on the holder of the duty is told of a leader. */
-const FAILING_SHARE = 0.25;
-/** Silence after which a member is avoided, in milliseconds. */
-const SILENCE_MS = 350;
-/** Silence after which its connections are ended, in milliseconds. */
-const DEAD_MS = 1200;
+/** Minimum interval between two reports about a group with the same reason, in milliseconds. */
+const REPORT_INTERVAL_MS = 80;
+/** Time without a reply after which a leader is reported to the duty holder, in milliseconds. */
+const LEADER_UNRESPONSIVE_MS = 200;
+/** Share of failed requests above which a leader is reported to the duty holder. */
+const MAX_FAILURE_SHARE = 0.25;
+/** Time without a reply after which a member is avoided, in milliseconds. */
+const MEMBER_UNRESPONSIVE_MS = 350;
+/** Time without a reply after which all connections to a member are closed, in milliseconds. */
+const CLOSE_UNRESPONSIVE_MS = 1200;
 
-/** Reasons that show that a member does not lead, or not any more. */
-const DENIALS: ReadonlySet<string> = new Set(['read_only', 'lost_log']);
+/** Reasons which show that a member is not, or no longer, the leader. */
+const NOT_LEADER_REASONS: ReadonlySet<string> = new Set(['read_only', 'lost_log']);
 
-/** What the doubts need. */
-export interface LeaderDoubtsOptions {
+/** Dependencies and settings of a failure detector. */
+export interface FailureDetectorOptions {
   readonly ownName: string;
   /** Time between two checks, in milliseconds. */
   readonly tickMs: number;
-  /** Tells the holder of the duty, which may be this daemon. */
-  tell(suspicion: Suspicion): void;
-  /** The leader of a group has to be looked for anew. */
-  wake(groupName: string): void;
+  /** Reports a suspected leader to the duty holder, which may be this daemon. */
+  report(suspicion: Suspicion): void;
+  /** Makes the leadership watcher of a group look for the leader again. */
+  wakeWatcher(groupName: string): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
 }
 
-/** Doubts of one daemon. */
-export class LeaderDoubts {
-  readonly #toldAtMs = new Map<string, number>();
+/** Failure detector of one daemon for all members. */
+export class FailureDetector {
+  readonly #reportedAtMs = new Map<string, number>();
 
-  constructor(private readonly options: LeaderDoubtsOptions) {}
+  constructor(private readonly options: FailureDetectorOptions) {}
 
-  /** Looks at a group: commits that go without an answer, a leader that fails requests, members that are silent. */
+  /** Checks a group for stalled commits, a leader that fails requests and members that do not answer. */
   check(group: MemberGroup): void {
     const now = this.options.now();
     this.#checkStall(group, now);
     this.#checkFailures(group, now);
-    for (const member of group.members.values()) this.#checkSilence(group, member, now);
+    for (const member of group.members.values()) this.#checkResponsiveness(group, member, now);
   }
 
   /**
-   * A member went silent, refused or ended connections, denied its lead (`read_only`), or lacks what the leader has said that it
-   * holds (`lost_log`): another life goes by its id.
+   * Handles a failure of a member: it did not answer, refused or ended connections, denied being the leader
+   * (`read_only`), or lacks log entries that the leader has reported to hold (`lost_log`), so that another
+   * incarnation now uses its member id.
    */
   suspect(group: MemberGroup, member: Member, reason: string): void {
-    // Its connections were ended on purpose, and another life goes by its id.
+    // Its connections were closed on purpose, and another incarnation may already use its member id.
     if (member.hasEnded) return;
     const isLeader = isLeaderOf(group, member);
-    const isDenial = DENIALS.has(reason);
-    if (isDenial) {
+    const deniesLeadership = NOT_LEADER_REASONS.has(reason);
+    if (deniesLeadership) {
       if (isLeader) group.evidence.loseLeader();
     } else {
       this.#avoid(group, member, reason);
     }
-    if (!isLeader && !isDenial) return;
-    this.options.wake(group.name);
-    this.#tell(group, member, suspicionReason(reason));
+    if (!isLeader && !deniesLeadership) return;
+    this.options.wakeWatcher(group.name);
+    this.#report(group, member, suspicionReason(reason));
   }
 
   #avoid(group: MemberGroup, member: Member, reason: string): void {
@@ -75,39 +76,44 @@
     member.avoid(now);
   }
 
-  /** Commits at a leader that answers but cannot reach its replicas. */
+  /**
+   * Reports a leader that answers but does not complete commits, for example because it cannot reach its
+   * replicas.
+   */
   #checkStall(group: MemberGroup, now: number): void {
     if (!group.commits.isStalled(now)) return;
     const leader = group.leader(now);
     if (leader === null) return;
-    this.#tell(group, leader, 'stalled');
-    leader.pool.own.failWaiters('commits stall', ({ isWrite }) => isWrite);
+    this.#report(group, leader, 'stalled');
+    leader.pool.own.rejectWaiters('commits at the leader are stalled', ({ isWrite }) => isWrite);
   }
 
-  /** A leader that fails requests though it seems well: another can take its place. */
+  /** Reports a leader that answers but fails many requests: another member can replace it. */
   #checkFailures(group: MemberGroup, now: number): void {
     const leader = group.leader(now);
-    if (leader !== null && leader.failureShare(now) > FAILING_SHARE) this.#tell(group, leader, 'failing');
+    if (leader !== null && leader.failureShare(now) > MAX_FAILURE_SHARE)
+      this.#report(group, leader, 'failing');
   }
 
-  #checkSilence(group: MemberGroup, member: Member, now: number): void {
+  #checkResponsiveness(group: MemberGroup, member: Member, now: number): void {
     const { own } = member.pool;
-    const silence = own.silenceMs(now);
-    const isNew = silence >= LEADER_SILENCE_MS && silence < LEADER_SILENCE_MS + this.options.tickMs;
-    if (isNew && isLeaderOf(group, member)) this.#tell(group, member, 'silent');
-    if (silence < SILENCE_MS) return;
+    const unansweredMs = own.unansweredMs(now);
+    const hasJustExceeded =
+      unansweredMs >= LEADER_UNRESPONSIVE_MS && unansweredMs < LEADER_UNRESPONSIVE_MS + this.options.tickMs;
+    if (hasJustExceeded && isLeaderOf(group, member)) this.#report(group, member, 'silent');
+    if (unansweredMs < MEMBER_UNRESPONSIVE_MS) return;
     this.suspect(group, member, 'silent');
-    own.failWaiters('the member is silent');
-    if (silence >= DEAD_MS) own.dropAll();
+    own.rejectWaiters('the member does not answer');
+    if (unansweredMs >= CLOSE_UNRESPONSIVE_MS) own.closeAll();
   }
 
-  #tell(group: MemberGroup, member: Member, reason: SuspicionReason): void {
+  #report(group: MemberGroup, member: Member, reason: SuspicionReason): void {
     const now = this.options.now();
     const key = `${group.name} ${reason}`;
-    if (now - (this.#toldAtMs.get(key) ?? Number.NEGATIVE_INFINITY) < TELL_MS) return;
-    this.#toldAtMs.set(key, now);
+    if (now - (this.#reportedAtMs.get(key) ?? Number.NEGATIVE_INFINITY) < REPORT_INTERVAL_MS) return;
+    this.#reportedAtMs.set(key, now);
     const { memberId } = member.entry;
-    this.options.tell({ groupName: group.name, memberId, reason, reporter: this.options.ownName });
+    this.options.report({ groupName: group.name, memberId, reason, reporter: this.options.ownName });
   }
 }
 
@@ -117,5 +123,5 @@
 
 function suspicionReason(reason: string): SuspicionReason {
   if (reason === 'silent') return 'silent';
-  return DENIALS.has(reason) ? 'denied' : 'refused';
+  return NOT_LEADER_REASONS.has(reason) ? 'denied' : 'refused';
 }
--- a/src/relay/link-pool-tenants.test.ts
+++ b/src/relay/link-pool-tenants.test.ts
@@ -1,5 +1,6 @@
 /**
- * Pooled connections of many tenants: none is handed on, and none keeps the others waiting for ever.
+ * Connection pool with several tenants: a connection is never reused for another tenant, and no tenant is
+ * starved.
  *
  * @packageDocumentation
  */
@@ -12,7 +13,7 @@
 import type { DialTarget, MemberLink } from './member-link.js';
 import type { PooledLink } from './pooled-link.js';
 
-/** A pool, the connections that it has opened, and the time. */
+/** A pool with the connections that it has opened and a simulated clock. */
 function scene(budget: number): { pool: LinkPool; links: FakeLink[]; clock: { now: number } } {
   const clock = { now: 0 };
   const links: FakeLink[] = [];
@@ -44,7 +45,7 @@
   for (let turn = 0; turn < 8; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 }
 
-test('an idle connection of another tenant makes room, the one used longest ago', async () => {
+test('the least recently used idle connection is closed in favour of a tenant without one', async () => {
   const { pool, links } = scene(2);
   const amber = await pool.acquire(demandOf('amber'), 1000);
   const birch = await pool.acquire(demandOf('birch'), 1000);
@@ -61,13 +62,17 @@
   );
 });
 
-test('a tenant that has waited for long gets the place of one that goes on calling', async () => {
+test('a tenant that has waited too long gets the place of a tenant that keeps sending requests', async () => {
   const { pool, clock } = scene(1);
   const first = await pool.acquire(demandOf('amber'), 1000);
   const other = pool.acquire(demandOf('birch', 5000), 1000);
   const next = pool.acquire(demandOf('amber', 9000), 1000);
   pool.release(first);
-  assert.equal(await next, first, 'not for a short wait: opening takes a slot of the member');
+  assert.equal(
+    await next,
+    first,
+    'not after a short wait: opening a connection occupies a slot of the member',
+  );
   clock.now = 30;
   const third = pool.acquire(demandOf('amber', 9000), 1000);
   pool.release(first);
@@ -77,7 +82,7 @@
   assert.equal((await third).tenantName, 'amber');
 });
 
-test('a question of the daemon’s own is asked over a connection of any tenant', async () => {
+test('a request of the daemon itself uses a connection of any tenant', async () => {
   const { pool, links } = scene(1);
   pool.release(await pool.acquire(demandOf('amber'), 1000));
   const link = await pool.acquire(demandOf(null), 1000);
@@ -107,7 +112,7 @@
               waiting += 1;
               void pool.acquire(demandOf(tenant, clock.now + 500), 60_000).then((link) => {
                 waiting -= 1;
-                assert.ok(!inUse.has(link), 'handed to two at once');
+                assert.ok(!inUse.has(link), 'granted to two requests at once');
                 if (tenant !== null) assert.equal(link.tenantName, tenant);
                 inUse.add(link);
                 held.push(link);
@@ -134,7 +139,7 @@
           await settle();
           assert.ok(pool.size <= budget, `${pool.size} connections`);
         }
-        // Whoever still waits is served once the others give back: nobody starves.
+        // Requests that still wait are served once the others release their connections: none is starved.
         for (let round = 0; round < 200 && (waiting > 0 || held.length > 0); round += 1) {
           clock.now += 30;
           for (const link of held.splice(0)) {
@@ -143,7 +148,7 @@
           }
           await settle();
         }
-        assert.equal(waiting, 0, 'somebody was never served');
+        assert.equal(waiting, 0, 'a request was never served');
       },
     ),
     { seed: 4711, numRuns: 150 },
--- a/src/relay/link-pool.test.ts
+++ b/src/relay/link-pool.test.ts
@@ -1,5 +1,5 @@
 /**
- * Pooled connections: budget, order, session state, members that refuse.
+ * Connection pool: budget, queue order, session state, connection failures and the end of a member.
  *
  * @packageDocumentation
  */
@@ -41,7 +41,7 @@
   });
 }
 
-test('the budget is kept, and those who wait are served by priority', async () => {
+test('the budget is not exceeded, and waiting requests are served by priority', async () => {
   let dialed = 0;
   const pool = poolOf(2, () => {
     dialed += 1;
@@ -60,7 +60,7 @@
   assert.equal(dialed, 2);
 });
 
-test('a connection with something under way or open is not used again', async () => {
+test('a connection that is released with a request in flight is closed', async () => {
   const links: FakeLink[] = [];
   const pool = poolOf(2, () => {
     const link = new FakeLink();
@@ -74,7 +74,7 @@
   assert.equal(pool.size, 0);
 });
 
-test('session values are those of the session that uses it, and nothing of an earlier one is left', async () => {
+test('a connection has the values of the session that uses it and none of an earlier session', async () => {
   const fake = new FakeLink();
   const pool = poolOf(1, () => Promise.resolve(fake));
   const link = await pool.acquire(DEMAND, 1000);
@@ -93,11 +93,11 @@
   assert.deepEqual(
     fake.sent.map(({ kind }) => kind),
     ['reset', 'set', 'prepare'],
-    'a reset drops prepared names too, so they are prepared again after it',
+    'a reset also drops prepared statements, so they are prepared again after it',
   );
 });
 
-test('a connection that refuses a value is ended: its state is unknown', async () => {
+test('a connection on which a value is refused is closed, because its state is unknown', async () => {
   const fake = new FakeLink();
   const pool = poolOf(1, () => Promise.resolve(fake));
   const link = await pool.acquire(DEMAND, 1000);
@@ -106,7 +106,7 @@
   assert.equal(link.isOpen, false);
 });
 
-test('a member with too many connections is dialed again for those who wait', async () => {
+test('a member that had too many connections is dialed again for waiting requests', async () => {
   const clock = { now: 0 };
   let attempts = 0;
   const dial = (): Promise<MemberLink> => {
@@ -124,7 +124,7 @@
   assert.equal(attempts, 3);
 });
 
-test('idle connections end after a while, but for one', async () => {
+test('all idle connections but one are closed after the idle time', async () => {
   const clock = { now: 0 };
   const pool = poolOf(3, () => Promise.resolve(new FakeLink()), clock);
   const links = [];
@@ -137,7 +137,7 @@
   assert.equal(pool.size, 1);
 });
 
-test('connections are opened in advance one after the other, and kept though idle', async () => {
+test('connections are opened in advance one at a time and kept open while idle', async () => {
   const clock = { now: 0 };
   let dialed = 0;
   const dial = (): Promise<MemberLink> => {
@@ -145,10 +145,10 @@
     return Promise.resolve(new FakeLink());
   };
   const pool = poolOf(3, dial, clock);
-  pool.keep(2);
+  pool.setMinIdle(2);
   pool.warm();
   pool.warm();
-  assert.equal(dialed, 1, 'not two at once: each takes a slot of the member');
+  assert.equal(dialed, 1, 'not two at once: opening a connection occupies a slot of the member');
   await new Promise((resolve) => setImmediate(resolve));
   clock.now = 1000;
   pool.warm();
@@ -159,7 +159,7 @@
   assert.equal(pool.size, 2);
 });
 
-test('a member that gives no connection at all fails all who wait for it, and is shut for a while', async () => {
+test('a member without a free connection fails all waiting requests and is then backed off', async () => {
   const clock = { now: 0 };
   const pool = poolOf(2, () => Promise.reject(new DialError('too_many_connections', 'full')), clock);
   const waiting = [pool.acquire(DEMAND, 1000), pool.acquire(DEMAND, 1000), pool.acquire(DEMAND, 1000)];
@@ -167,10 +167,10 @@
   for (const each of waiting) await assert.rejects(each, DialError);
   assert.equal(pool.isShut, true);
   clock.now = 11;
-  assert.equal(pool.isShut, false, 'asked again');
+  assert.equal(pool.isShut, false, 'may be dialed again after the backoff');
 });
 
-/** Connections that are accepted when the test says so. */
+/** A dialer whose connections are accepted one by one by a call of `accept`. */
 function slowDialer(): { dial: () => Promise<MemberLink>; accept: () => void; dialed: () => number } {
   const open: ((link: MemberLink) => void)[] = [];
   let dialed = 0;
@@ -184,7 +184,7 @@
   };
 }
 
-test('few connections are opened at once, the next as one is accepted', async () => {
+test('only two connections are opened at the same time, and the next one when one is accepted', async () => {
   const { dial, accept, dialed } = slowDialer();
   const pool = poolOf(8, dial);
   const waiting = Array.from({ length: 6 }, () => pool.acquire(DEMAND, 1000));
@@ -199,17 +199,17 @@
   assert.equal(dialed(), 6);
 });
 
-test('a member that is slow to accept loses who waits to others, not the connection under way', async () => {
+test('a member that is slow to accept fails the waiting request, but the attempt continues', async () => {
   const { dial, accept, dialed } = slowDialer();
   const pool = poolOf(1, dial);
   await assert.rejects(pool.acquire(DEMAND, 1000), DialError);
   const next = pool.acquire(DEMAND, 1000);
-  assert.equal(dialed(), 1, 'it is not begun anew');
+  assert.equal(dialed(), 1, 'the attempt is not restarted');
   accept();
   await next;
 });
 
-test('whoever comes while a connection is kept waiting does not wait for it longer than the first', async () => {
+test('requests that arrive during a slow connection attempt wait no longer than the first one', async () => {
   const { dial, dialed } = slowDialer();
   const pool = poolOf(1, dial);
   await assert.rejects(pool.acquire(DEMAND, 10_000), DialError);
@@ -220,12 +220,12 @@
   assert.equal(dialed(), 1);
 });
 
-test('a member that did not accept in time is left alone for longer each time', async (context) => {
+test('the backoff of a member that does not accept in time grows with each attempt', async (context) => {
   context.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = { now: 0 };
-  const begun: number[] = [];
+  const dialedAtMs: number[] = [];
   const dial = (): Promise<MemberLink> => {
-    begun.push(clock.now);
+    dialedAtMs.push(clock.now);
     return Promise.reject(new DialError('slow', 'no answer in time'));
   };
   const pool = poolOf(1, dial, clock);
@@ -234,14 +234,17 @@
     context.mock.timers.tick(1);
     await new Promise((resolve) => setImmediate(resolve));
   }
-  const pauses = begun.slice(1).map((at, index) => at - (begun[index] ?? 0));
-  assert.ok(pauses.length >= 4, `connections begun: ${begun.join(', ')}`);
+  const pauses = dialedAtMs.slice(1).map((at, index) => at - (dialedAtMs[index] ?? 0));
+  assert.ok(pauses.length >= 4, `start times of attempts: ${dialedAtMs.join(', ')}`);
   for (const [index, pause] of pauses.slice(1).entries())
-    assert.ok(pause >= 1.8 * (pauses[index] ?? 0), `connections begun: ${begun.join(', ')}`);
+    assert.ok(pause >= 1.8 * (pauses[index] ?? 0), `start times of attempts: ${dialedAtMs.join(', ')}`);
 });
 
 describe('a pool whose member has ended', () => {
-  /** A pool whose trouble is noted, with a connection in use, an idle one, and what its dialer is asked. */
+  /**
+   * A pool with one connection in use and one idle, the failures that it reports and its pending dial
+   * attempts.
+   */
   async function endedPool(): Promise<{
     pool: LinkPool;
     links: FakeLink[];
@@ -267,7 +270,7 @@
     return { pool, links, troubles, dials };
   }
 
-  test('ends its connections at once, also those in use, and hands out no more', async () => {
+  test('closes its connections immediately, including those in use, and grants no more', async () => {
     const { pool, links } = await endedPool();
     pool.end();
     assert.deepEqual(
@@ -277,7 +280,7 @@
     assert.equal(pool.size, 0);
     await assert.rejects(pool.acquire(DEMAND, 1000), PoolTimeoutError);
     pool.reopen();
-    await assert.rejects(pool.acquire(DEMAND, 1000), PoolTimeoutError, 'its end is for good');
+    await assert.rejects(pool.acquire(DEMAND, 1000), PoolTimeoutError, 'the end is permanent');
   });
 
   test('tells those who wait, and of no trouble, whatever comes of the connections that it was opening', async () => {
@@ -301,7 +304,7 @@
   });
 });
 
-test('a pool that was closed and is opened again hands out the connections that it has', async () => {
+test('a pool that is reopened after a close grants the connections that it still has', async () => {
   const links: FakeLink[] = [];
   const pool = poolOf(1, () => {
     links.push(new FakeLink());
--- a/src/relay/link-pool.ts
+++ b/src/relay/link-pool.ts
@@ -1,8 +1,9 @@
 /**
- * The connections of one daemon to one member, within a budget.
+ * Connection pool of one daemon for one member, limited by a connection budget.
  *
- * A connection belongs to the tenant for which it was opened, for good: members are told once who calls. Where the budget is
- * used up, the idle connection that was used longest ago is given up for a tenant that has none.
+ * A connection belongs to one tenant for its whole lifetime, since the tenant is sent to the member only when
+ * the connection is opened. If the budget is used up, the least recently used idle connection is closed in
+ * favour of a tenant without one.
  *
  * @packageDocumentation
  */
@@ -13,44 +14,53 @@
 import { PooledLink } from './pooled-link.js';
 import type { SessionValues } from './session-link.js';
 
-/** Connections that are kept though they are idle. */
-const KEPT_IDLE = 1;
-/** Time between two connections that are opened in advance, in milliseconds: each takes a slot of the member. */
-const WARMING_MS = 200;
+/** Idle connections that a pool keeps open by default. */
+const DEFAULT_MIN_IDLE = 1;
 /**
- * Connections that a pool opens at once: each takes a slot of the member while it is opened, and every daemon that connects
- * to the member may be opening some.
+ * Interval between connections opened in advance, in milliseconds: opening one occupies a slot of the member.
  */
-const MAX_DIALING = 2;
+const WARM_INTERVAL_MS = 200;
 /**
- * How long somebody waits while connections of other tenants are given back and used again, in milliseconds: twice the time
- * that members take for a new connection (12 to 14 ms). Below it, a switch costs the member more than the wait costs the caller.
+ * Connections that a pool opens at the same time. Each occupies a slot of the member while it is being
+ * opened, and every daemon that connects to the member may be opening some.
  */
-const SWITCH_AFTER_MS = 25;
-/** For how long a member may keep a new connection waiting before it is given up, in milliseconds. */
-const ACCEPT_MS = 2000;
+const MAX_CONCURRENT_DIALS = 2;
 /**
- * Pause after a member was too slow to accept a connection, in milliseconds: doubled from the first to the second with each
- * one in a row, and spread over half of it, so that pools do not come back together.
+ * How long a request waits while connections of other tenants are released and reused, before one of them is
+ * closed in its favour, in milliseconds: twice the time that a member takes to open a connection (12 to 14
+ * ms). With a shorter wait, the new connection costs the member more than the wait costs the caller.
  */
-const FIRST_DIAL_PAUSE_MS = 50;
-const LAST_DIAL_PAUSE_MS = 1600;
+const TENANT_SWITCH_WAIT_MS = 25;
+/** Timeout for a member to accept a new connection, in milliseconds. */
+const ACCEPT_TIMEOUT_MS = 2000;
+/**
+ * Backoff after a member was too slow to accept a connection, in milliseconds. It doubles from the minimum to
+ * the maximum with each consecutive slow attempt. Up to half of it is taken off at random so that pools do
+ * not retry simultaneously.
+ */
+const MIN_DIAL_BACKOFF_MS = 50;
+const MAX_DIAL_BACKOFF_MS = 1600;
 
-/** What a pool is told about its surroundings. */
+/** Dependencies and settings of a pool. */
 export interface LinkPoolOptions {
   readonly dialer: MemberDialer;
   readonly address: MemberAddress;
-  /** Most connections that may be open now. */
+  /** Current limit on open connections. */
   budget(): number;
-  /** Longest time to open a connection, in milliseconds. */
+  /**
+   * Timeout for the host to accept a connection, in milliseconds. Requests that wait for the connection are
+   * rejected after the same time, also if the host has accepted it but the member has not.
+   */
   readonly dialTimeoutMs: number;
-  /** How long the pool keeps to what it has after the member had too many connections, in milliseconds. */
+  /**
+   * How long the pool opens no connection after the member reported too many connections, in milliseconds.
+   */
   readonly limitBackoffMs: number;
-  /** How long a connection may be idle while others are, in milliseconds. */
+  /** Idle time after which a connection above the minimum is closed, in milliseconds. */
   readonly idleMs: number;
-  /** Time that the member takes for an answer, in milliseconds. */
+  /** Expected latency of the member's replies, in milliseconds. */
   serviceMs(): number;
-  /** Told when a connection could not be opened or ended by itself. */
+  /** Called when a connection could not be opened or was closed by the peer. */
   onTrouble(reason: string): void;
   /** Monotonic time, in milliseconds. */
   now(): number;
@@ -58,57 +68,62 @@
   random(): number;
 }
 
-/** Somebody who waits, and since when, in monotonic milliseconds. */
-interface Waiting {
+/** A waiting request, and since when it waits, in monotonic milliseconds. */
+interface QueuedWaiter {
   readonly waiter: PoolWaiter;
   readonly demand: LinkDemand;
   readonly sinceMs: number;
 }
 
-/** Opens connections on demand, hands them out by priority, takes them back when they are clean. */
+/**
+ * Opens connections on demand, grants them by priority and reuses those that are released without open work.
+ */
 export class LinkPool implements WaitingPlace {
-  /** Given back last stands last, and is used first. */
+  /** In order of release; the most recently released connection is last and is reused first. */
   readonly #idle: { readonly link: PooledLink; readonly sinceMs: number }[] = [];
-  readonly #waiters: Waiting[] = [];
+  readonly #waiters: QueuedWaiter[] = [];
   readonly #links = new Set<PooledLink>();
-  /** Names of the tenants for which connections are being opened. */
+  /** Tenant names of the connections that are being opened. */
   readonly #dialing: string[] = [];
-  /** Connections in a row that the member was too slow to accept. */
-  #slowDials = 0;
-  /** Until when no connection is opened. */
-  #limitedUntilMs = Number.NEGATIVE_INFINITY;
+  /** Consecutive connection attempts that the member was too slow to accept. */
+  #consecutiveSlowDials = 0;
+  /** Until when no connection is opened, in monotonic milliseconds. */
+  #dialBackoffUntilMs = Number.NEGATIVE_INFINITY;
   #warmedAtMs = Number.NEGATIVE_INFINITY;
-  #keptIdle = KEPT_IDLE;
+  #minIdle = DEFAULT_MIN_IDLE;
   #isClosed = false;
-  /** The process behind the connections is no more. */
+  /** True once the member's process has ended; unlike `#isClosed`, this is permanent. */
   #hasEnded = false;
 
   constructor(private readonly options: LinkPoolOptions) {}
 
-  /** Connections that are open or being opened. */
+  /** Number of connections that are open or being opened. */
   get size(): number {
     return this.#links.size + this.#dialing.length;
   }
 
-  /** Connections handed out, and requests that wait for one. */
+  /** Number of connections in use or being opened, plus the number of waiting requests. */
   get load(): number {
     return this.#links.size - this.#idle.length + this.#dialing.length + this.#waiters.length;
   }
 
-  /** True when a request would have to wait for another to finish. */
+  /** True if a request would have to wait until another one releases its connection. */
   get isExhausted(): boolean {
-    return this.#idle.length === 0 && !this.#mayDial();
+    return this.#idle.length === 0 && !this.#canDial();
   }
 
-  /** True while there is no connection, and none is opened since the member has just refused one, or was too slow to accept it. */
+  /**
+   * True if the pool has no connection and currently opens none, because the member has refused one or was too
+   * slow to accept it.
+   */
   get isShut(): boolean {
-    return this.size === 0 && this.options.now() < this.#limitedUntilMs;
+    return this.size === 0 && this.options.now() < this.#dialBackoffUntilMs;
   }
 
   /**
-   * A connection for exclusive use; give it back with {@link LinkPool.release}.
+   * Acquires a connection for exclusive use; return it with {@link LinkPool.release}.
    *
-   * @throws {@link PoolTimeoutError}, {@link DialError}: nothing was sent
+   * @throws {@link PoolTimeoutError}, {@link DialError}: nothing was sent to the member
    */
   async acquire(demand: LinkDemand, waitMs: number): Promise<PooledLink> {
     const wait = new LinkWait<this>(demand, waitMs);
@@ -117,10 +132,10 @@
     return link as PooledLink;
   }
 
-  /** Grants an idle connection at once, or lets a request wait for one. */
-  join(waiter: PoolWaiter): void {
+  /** Grants an idle connection immediately, or enqueues the request. */
+  enqueue(waiter: PoolWaiter): void {
     if (this.#isClosed) {
-      waiter.fail(new PoolTimeoutError('the member has left'), this);
+      waiter.fail(new PoolTimeoutError('the connection pool is closed: the member has left'), this);
       return;
     }
     const { demand } = waiter;
@@ -133,33 +148,36 @@
     this.#openForWaiters();
   }
 
-  /** A request waits here no more. */
-  leave(waiter: PoolWaiter): void {
+  /** Removes a request from the queue. */
+  dequeue(waiter: PoolWaiter): void {
     const index = this.#waiters.findIndex((waiting) => waiting.waiter === waiter);
     if (index >= 0) this.#waiters.splice(index, 1);
   }
 
-  /** An idle connection for a question of the daemon's own, or `null`. */
+  /** Takes an idle connection of any tenant for a request of the daemon itself, or returns `null`. */
   takeIdle(): PooledLink | null {
     return this.#takeIdle(null, new Map());
   }
 
-  /** True when a question of the daemon's own should open the first connection: requests use it next. */
+  /**
+   * True if a request of the daemon itself should open the first connection; client requests reuse it
+   * afterwards.
+   */
   get isUnopened(): boolean {
-    return !this.#isClosed && this.size === 0 && this.#mayDial();
+    return !this.#isClosed && this.size === 0 && this.#canDial();
   }
 
-  /** Takes a connection back; one that is not clean is ended. */
+  /** Returns a connection to the pool; closes it if a request is in flight or a transaction is open on it. */
   release(link: PooledLink): void {
     if (!link.isClean || this.#isClosed || this.size > this.options.budget()) {
       link.close();
       return;
     }
-    if (this.#mustSwitch(link)) {
+    if (this.#mustYieldToOtherTenant(link)) {
       link.close();
       return;
     }
-    const waiter = this.#nextWaiter(link.tenantName);
+    const waiter = this.#takeNextWaiter(link.tenantName);
     if (waiter !== undefined) {
       waiter.grant(link, this);
       return;
@@ -168,138 +186,154 @@
     this.#openForWaiters();
   }
 
-  /** True when a connection has to make room for a tenant that has waited for long, and that no other way has one for. */
-  #mustSwitch(link: PooledLink): boolean {
-    if (this.#idle.length > 0 || this.size < this.options.budget() || this.#isPaused()) return false;
-    const first = this.#firstUncovered();
-    if (first === undefined || isServedBy(first.demand, link.tenantName)) return false;
-    return this.options.now() - first.sinceMs >= SWITCH_AFTER_MS;
+  /**
+   * True if a released connection has to be closed for a tenant that has waited too long and cannot be served
+   * otherwise.
+   */
+  #mustYieldToOtherTenant(link: PooledLink): boolean {
+    if (this.#idle.length > 0 || this.size < this.options.budget() || this.#mustNotDial()) return false;
+    const first = this.#nextWaiterWithoutDial();
+    if (first === undefined || acceptsTenant(first.demand, link.tenantName)) return false;
+    return this.options.now() - first.sinceMs >= TENANT_SWITCH_WAIT_MS;
   }
 
   /**
-   * Ends connections that were not needed for a while, and idle ones above the budget: what a member keeps open
-   * for daemons that lose power counts against its limit until it notices.
+   * Closes connections that have been idle for too long, and idle ones above the budget. Connections of a
+   * daemon that loses power count against the member's limit until the member notices, so a pool keeps few
+   * that it doesn't need.
    */
   trim(): void {
-    const unneededSinceMs = this.options.now() - this.options.idleMs;
+    const idleCutoffMs = this.options.now() - this.options.idleMs;
     for (;;) {
       const oldest = this.#idle[0];
       if (oldest === undefined) return;
-      const isUnneeded = oldest.sinceMs < unneededSinceMs && this.#links.size > this.#keptIdle;
-      if (!isUnneeded && this.size <= this.options.budget()) return;
+      const isExpired = oldest.sinceMs < idleCutoffMs && this.#links.size > this.#minIdle;
+      if (!isExpired && this.size <= this.options.budget()) return;
       oldest.link.close();
     }
   }
 
-  /** Sets how many connections are kept though they are idle. */
-  keep(count: number): void {
-    this.#keptIdle = count;
+  /** Sets how many connections are kept open while idle. */
+  setMinIdle(count: number): void {
+    this.#minIdle = count;
   }
 
-  /** Opens the connections that are to be kept, one after the other, for requests of many daemons to come. */
+  /** Opens connections up to the idle minimum, one at a time, in advance of requests from many daemons. */
   warm(): void {
     const now = this.options.now();
-    const isEnough = this.size >= this.#keptIdle;
-    if (this.#isClosed || isEnough || now - this.#warmedAtMs < WARMING_MS || !this.#mayDial()) return;
+    const isEnough = this.size >= this.#minIdle;
+    if (this.#isClosed || isEnough || now - this.#warmedAtMs < WARM_INTERVAL_MS || !this.#canDial()) return;
     this.#warmedAtMs = now;
     this.#dial(NO_TENANT);
   }
 
-  /** Opens connections for those who wait, as far as the budget goes; idle ones of other tenants make room. */
+  /**
+   * Opens connections for waiting requests within the budget; closes idle ones of other tenants to make room.
+   */
   #openForWaiters(): void {
     while (!this.#isClosed) {
-      const first = this.#firstUncovered();
+      const first = this.#nextWaiterWithoutDial();
       if (first === undefined) return;
-      if (this.#mayDial()) this.#dial(first.demand.tenantName ?? NO_TENANT);
-      else if (!this.#giveUpIdle()) return;
+      if (this.#canDial()) this.#dial(first.demand.tenantName ?? NO_TENANT);
+      else if (!this.#closeOldestIdle()) return;
     }
   }
 
-  /** Of those who wait and for whom no connection is being opened, the one that is to be served next. */
-  #firstUncovered(): Waiting | undefined {
+  /** Selects the next request to serve among those for which no connection is being opened. */
+  #nextWaiterWithoutDial(): QueuedWaiter | undefined {
     const dialing = [...this.#dialing];
-    const uncovered = this.#waiters.filter(({ demand }) => {
-      const index = dialing.findIndex((tenantName) => isServedBy(demand, tenantName));
+    const withoutDial = this.#waiters.filter(({ demand }) => {
+      const index = dialing.findIndex((tenantName) => acceptsTenant(demand, tenantName));
       if (index >= 0) dialing.splice(index, 1);
       return index < 0;
     });
-    return uncovered[nextToServe(uncovered, this.options.now(), this.options.serviceMs())];
+    return withoutDial[nextToServe(withoutDial, this.options.now(), this.options.serviceMs())];
   }
 
-  /** Ends the idle connection that was used longest ago; false when there is none, or none may be opened in its place. */
-  #giveUpIdle(): boolean {
+  /**
+   * Closes the least recently used idle connection; returns false if there is none, or no other may be opened
+   * now.
+   */
+  #closeOldestIdle(): boolean {
     const oldest = this.#idle[0];
-    if (oldest === undefined || this.#isPaused()) return false;
+    if (oldest === undefined || this.#mustNotDial()) return false;
     oldest.link.close();
     return true;
   }
 
-  /** For how long requests have waited with no byte from the member, in milliseconds; 0 when none waits. */
-  silenceMs(nowMs: number): number {
-    let waitingSince = nowMs;
+  /**
+   * For how long requests in flight have received no byte from the member, in milliseconds; 0 without such
+   * requests.
+   */
+  unansweredMs(nowMs: number): number {
+    let awaitingReplySince = nowMs;
     let lastReceived = Number.NEGATIVE_INFINITY;
     for (const link of this.#links) {
-      if (link.waitingSinceMs !== null) waitingSince = Math.min(waitingSince, link.waitingSinceMs);
+      if (link.awaitingReplySinceMs !== null)
+        awaitingReplySince = Math.min(awaitingReplySince, link.awaitingReplySinceMs);
       lastReceived = Math.max(lastReceived, link.lastReceivedMs);
     }
-    return nowMs - Math.max(waitingSince, lastReceived);
+    return nowMs - Math.max(awaitingReplySince, lastReceived);
   }
 
-  /** Tells those who wait that none will come soon. Nothing was sent. */
-  failWaiters(reason: string, isConcerned: (demand: LinkDemand) => boolean = () => true): void {
-    const concerned = this.#waiters.filter(({ demand }) => isConcerned(demand));
-    for (const { waiter } of concerned) {
-      this.leave(waiter);
+  /** Rejects waiting requests, since no connection will be available soon. Nothing was sent for them. */
+  rejectWaiters(reason: string, isAffected: (demand: LinkDemand) => boolean = () => true): void {
+    const affected = this.#waiters.filter(({ demand }) => isAffected(demand));
+    for (const { waiter } of affected) {
+      this.dequeue(waiter);
       waiter.fail(new PoolTimeoutError(reason), this);
     }
   }
 
-  /** Ends all connections: the member does not answer. */
-  dropAll(): void {
+  /** Closes all connections immediately, because the member does not answer. */
+  closeAll(): void {
     for (const link of [...this.#links]) link.close();
   }
 
-  /** Ends idle connections now, the others as they are given back. */
+  /** Closes idle connections immediately and the others when they are released. */
   close(): void {
     this.#isClosed = true;
     for (const { link } of [...this.#idle]) link.close();
-    this.failWaiters('the member has left');
+    this.rejectWaiters('the connection pool was closed: the member has left');
   }
 
-  /** Connections are handed out again after {@link LinkPool.close}. */
+  /** Grants connections again after {@link LinkPool.close}, but not after {@link LinkPool.end}. */
   reopen(): void {
     this.#isClosed = this.#hasEnded;
   }
 
-  /** Ends all connections now, also those in use: the process behind them is no more. Tells of no trouble from now on. */
+  /**
+   * Closes all connections immediately and permanently, including those in use, because the member's process
+   * has ended. Failures are no longer reported after this.
+   */
   end(): void {
     this.#hasEnded = true;
     this.close();
-    this.dropAll();
+    this.closeAll();
   }
 
-  /** True while no connection is opened, whatever the budget says. */
-  #isPaused(): boolean {
-    return this.#dialing.length >= MAX_DIALING || this.options.now() < this.#limitedUntilMs;
+  /** True while no connection may be opened, regardless of the budget. */
+  #mustNotDial(): boolean {
+    return this.#dialing.length >= MAX_CONCURRENT_DIALS || this.options.now() < this.#dialBackoffUntilMs;
   }
 
-  #mayDial(): boolean {
-    return this.size < this.options.budget() && !this.#isPaused();
+  #canDial(): boolean {
+    return this.size < this.options.budget() && !this.#mustNotDial();
   }
 
   #takeIdle(tenantName: string | null, values: SessionValues): PooledLink | null {
-    const isFit = (link: PooledLink): boolean =>
+    const isUsable = (link: PooledLink): boolean =>
       link.isOpen && (tenantName === null || link.tenantName === tenantName);
-    let index = this.#idle.findLastIndex(({ link }) => isFit(link) && link.hasValues(values));
-    if (index < 0) index = this.#idle.findLastIndex(({ link }) => isFit(link));
+    let index = this.#idle.findLastIndex(({ link }) => isUsable(link) && link.hasValues(values));
+    if (index < 0) index = this.#idle.findLastIndex(({ link }) => isUsable(link));
     return index < 0 ? null : (this.#idle.splice(index, 1)[0]?.link ?? null);
   }
 
-  /** Takes the one out of the queue that is to be served next by a connection of a tenant. */
-  #nextWaiter(tenantName: string): PoolWaiter | undefined {
+  /** Dequeues the next request that a connection of the tenant can serve. */
+  #takeNextWaiter(tenantName: string): PoolWaiter | undefined {
     const { now, serviceMs } = this.options;
-    const served = this.#waiters.filter(({ demand }) => isServedBy(demand, tenantName));
-    const next = served[nextToServe(served, now(), serviceMs())];
+    const eligible = this.#waiters.filter(({ demand }) => acceptsTenant(demand, tenantName));
+    const next = eligible[nextToServe(eligible, now(), serviceMs())];
     if (next !== undefined) this.#waiters.splice(this.#waiters.indexOf(next), 1);
     return next?.waiter;
   }
@@ -307,43 +341,47 @@
   #dial(tenantName: string): void {
     this.#dialing.push(tenantName);
     const { dialer, address, dialTimeoutMs } = this.options;
-    // The member goes on with a connection that is given up: it is waited for, but whoever waits may go elsewhere.
-    const timer = setInterval(() => this.#dialIsSlow(tenantName), dialTimeoutMs).unref();
+    // The member continues to set up a connection that the daemon has abandoned. So a slow attempt is not
+    // aborted; instead, waiting requests are rejected so that they can use another member.
+    const timer = setInterval(() => this.#onSlowDial(tenantName), dialTimeoutMs).unref();
     dialer
-      .dial({ ...address, tenantName }, dialTimeoutMs, ACCEPT_MS)
+      .dial({ ...address, tenantName }, dialTimeoutMs, ACCEPT_TIMEOUT_MS)
       .finally(() => {
         clearInterval(timer);
         this.#dialing.splice(this.#dialing.indexOf(tenantName), 1);
       })
       .then(
         (memberLink) => {
-          this.#slowDials = 0;
+          this.#consecutiveSlowDials = 0;
           this.#add(new PooledLink(memberLink, tenantName));
           this.#openForWaiters();
         },
         (error: unknown) =>
-          this.#dialFailed(
+          this.#onDialFailed(
             tenantName,
             error instanceof DialError ? error : new DialError('lost', String(error)),
           ),
       );
   }
 
-  /** A connection has been under way for long: where there is no other, nobody is to wait for it alone. */
-  #dialIsSlow(tenantName: string): void {
+  /**
+   * Rejects a waiting request, or all of them if the pool has no open connection that could serve them
+   * instead.
+   */
+  #onSlowDial(tenantName: string): void {
     const slow = new DialError('slow', 'the member has not accepted the connection yet');
-    if (this.#links.size > 0) this.#nextWaiter(tenantName)?.fail(slow, this);
+    if (this.#links.size > 0) this.#takeNextWaiter(tenantName)?.fail(slow, this);
     else for (const { waiter } of this.#waiters.splice(0)) waiter.fail(slow, this);
   }
 
   #add(link: PooledLink): void {
     this.#links.add(link);
-    link.onClosed((isByPeer) => this.#lost(link, isByPeer));
+    link.onClosed((isByPeer) => this.#onLinkClosed(link, isByPeer));
     if (link.isOpen) this.release(link);
-    else this.#lost(link, true);
+    else this.#onLinkClosed(link, true);
   }
 
-  #lost(link: PooledLink, isByPeer: boolean): void {
+  #onLinkClosed(link: PooledLink, isByPeer: boolean): void {
     if (!this.#links.delete(link)) return;
     if (isByPeer && !this.#hasEnded) this.options.onTrouble('lost');
     const index = this.#idle.findIndex((idle) => idle.link === link);
@@ -351,20 +389,20 @@
     this.#openForWaiters();
   }
 
-  #dialFailed(tenantName: string, error: DialError): void {
+  #onDialFailed(tenantName: string, error: DialError): void {
     if (this.#hasEnded) return;
     const { limitBackoffMs } = this.options;
     switch (error.reason) {
       case 'too_many_connections':
-        this.#pauseDials(limitBackoffMs);
-        // Others may have one to lend: nobody is to wait here.
+        this.#backOffDials(limitBackoffMs);
+        // Other daemons may have a connection to lend, so no request should wait for this pool.
         if (this.size === 0) for (const { waiter } of this.#waiters.splice(0)) waiter.fail(error, this);
         return;
       case 'slow':
-        this.#pauseDials(this.#slowPauseMs());
+        this.#backOffDials(this.#nextSlowDialBackoffMs());
         return;
       case 'busy':
-        this.#pauseDials(this.#slowPauseMs());
+        this.#backOffDials(this.#nextSlowDialBackoffMs());
         break;
       case 'refused':
       case 'silent':
@@ -372,24 +410,27 @@
       case 'wrong_member':
         this.options.onTrouble(error.reason);
     }
-    this.#nextWaiter(tenantName)?.fail(error, this);
+    this.#takeNextWaiter(tenantName)?.fail(error, this);
     this.#openForWaiters();
   }
 
-  /** Opens no connection for a while; those who wait may get one that comes free. */
-  #pauseDials(pauseMs: number): void {
-    this.#limitedUntilMs = this.options.now() + pauseMs;
+  /** Opens no connection for the given time; waiting requests may still be granted released ones. */
+  #backOffDials(pauseMs: number): void {
+    this.#dialBackoffUntilMs = this.options.now() + pauseMs;
     setTimeout(() => this.#openForWaiters(), pauseMs + 1);
   }
 
-  #slowPauseMs(): number {
-    const pauseMs = Math.min(LAST_DIAL_PAUSE_MS, FIRST_DIAL_PAUSE_MS * 2 ** Math.min(this.#slowDials, 8));
-    this.#slowDials += 1;
+  #nextSlowDialBackoffMs(): number {
+    const pauseMs = Math.min(
+      MAX_DIAL_BACKOFF_MS,
+      MIN_DIAL_BACKOFF_MS * 2 ** Math.min(this.#consecutiveSlowDials, 8),
+    );
+    this.#consecutiveSlowDials += 1;
     return pauseMs * (1 - this.options.random() / 2);
   }
 }
 
-/** True when a connection of a tenant will do. */
-function isServedBy(demand: LinkDemand, tenantName: string): boolean {
+/** True if a connection of the tenant satisfies the demand. */
+function acceptsTenant(demand: LinkDemand, tenantName: string): boolean {
   return demand.tenantName === null || demand.tenantName === tenantName;
 }
--- a/src/relay/link-wait.test.ts
+++ b/src/relay/link-wait.test.ts
@@ -1,5 +1,5 @@
 /**
- * A wait at several pools.
+ * Acquiring one connection from several pools.
  *
  * @packageDocumentation
  */
@@ -17,22 +17,22 @@
 };
 const LINK = {} as SessionLink;
 
-class Place implements WaitingPlace {
+class FakeSource implements WaitingPlace {
   readonly waiters: PoolWaiter[] = [];
 
-  join(waiter: PoolWaiter): void {
+  enqueue(waiter: PoolWaiter): void {
     this.waiters.push(waiter);
   }
 
-  leave(waiter: PoolWaiter): void {
+  dequeue(waiter: PoolWaiter): void {
     this.waiters.splice(this.waiters.indexOf(waiter), 1);
   }
 }
 
-function scene(): { wait: LinkWait<string>; leader: Place; replica: Place } {
+function createWait(): { wait: LinkWait<string>; leader: FakeSource; replica: FakeSource } {
   const wait = new LinkWait<string>(DEMAND, 1000);
-  const leader = new Place();
-  const replica = new Place();
+  const leader = new FakeSource();
+  const replica = new FakeSource();
   wait.joinAll([
     { place: leader, member: 'leader' },
     { place: replica, member: 'replica' },
@@ -40,16 +40,16 @@
   return { wait, leader, replica };
 }
 
-test('the first pool with a connection serves it, and the others forget it', async () => {
-  const { wait, leader, replica } = scene();
+test('the first pool with a connection serves the request, and the others dequeue it', async () => {
+  const { wait, leader, replica } = createWait();
   wait.grant(LINK, replica);
   assert.deepEqual(await wait.granted, { link: LINK, member: 'replica' });
   assert.equal(leader.waiters.length, 0);
   assert.equal(wait.isWaiting, false);
 });
 
-test('a pool that fails leaves it to the others; the last one ends the wait', async () => {
-  const { wait, leader, replica } = scene();
+test('the wait continues when one pool fails and ends when the last one fails', async () => {
+  const { wait, leader, replica } = createWait();
   const granted = assert.rejects(wait.granted, /no way/);
   wait.fail(new Error('refused'), leader);
   assert.equal(wait.isWaiting, true);
@@ -58,35 +58,38 @@
   assert.deepEqual([...wait.failures.keys()], ['leader', 'replica']);
 });
 
-test('a pool that fails at once does not keep the next from being asked', async () => {
+test('a pool that fails immediately does not prevent the next one from being asked', async () => {
   const refusing: WaitingPlace = {
-    join: (waiter) => waiter.fail(new Error('refused'), refusing),
-    leave: () => undefined,
+    enqueue: (waiter) => waiter.fail(new Error('refused'), refusing),
+    dequeue: () => undefined,
+  };
+  const granting: WaitingPlace = {
+    enqueue: (waiter) => waiter.grant(LINK, granting),
+    dequeue: () => undefined,
   };
-  const giving: WaitingPlace = { join: (waiter) => waiter.grant(LINK, giving), leave: () => undefined };
   const wait = new LinkWait<string>(DEMAND, 1000);
   wait.joinAll([
     { place: refusing, member: 'refusing' },
-    { place: giving, member: 'giving' },
+    { place: granting, member: 'granting' },
   ]);
-  assert.equal((await wait.granted).member, 'giving');
+  assert.equal((await wait.granted).member, 'granting');
 });
 
-test('a wait that is over is joined and failed to no effect', async () => {
-  const { wait, leader, replica } = scene();
+test('adding pools to a finished wait, or failing it, has no effect', async () => {
+  const { wait, leader, replica } = createWait();
   wait.grant(LINK, leader);
-  const late = new Place();
+  const late = new FakeSource();
   wait.joinAll([{ place: late, member: 'late' }]);
   wait.fail(new Error('too late'), replica);
   assert.equal(late.waiters.length, 0);
   assert.equal((await wait.granted).member, 'leader');
 });
 
-test('its time passes, or it is needed no more: all pools forget it', async () => {
-  const patient = scene();
-  const given = assert.rejects(patient.wait.granted, PoolTimeoutError);
-  patient.wait.cancel();
-  await given;
-  assert.equal(patient.leader.waiters.length + patient.replica.waiters.length, 0);
+test('a wait that is cancelled is removed from all pools, and one without time left fails', async () => {
+  const setup = createWait();
+  const rejected = assert.rejects(setup.wait.granted, PoolTimeoutError);
+  setup.wait.cancel();
+  await rejected;
+  assert.equal(setup.leader.waiters.length + setup.replica.waiters.length, 0);
   await assert.rejects(new LinkWait<string>(DEMAND, 0).granted, PoolTimeoutError);
 });
--- a/src/relay/link-wait.ts
+++ b/src/relay/link-wait.ts
@@ -1,53 +1,55 @@
 /**
- * One request that waits for a connection, at one member or at several that could serve it: the first that has one free
- * gets it.
+ * Acquisition of one connection for a request, from the pools of one or several members that could serve it.
+ * The first pool with a free connection serves the request.
  *
  * @packageDocumentation
  */
 import type { LinkDemand } from './link-queue.js';
 import type { SessionLink } from './session-link.js';
 
-/** No connection came free in time: nothing was sent. */
+/** No connection became available in time: nothing was sent. */
 export class PoolTimeoutError extends Error {
   override readonly name = 'PoolTimeoutError';
 }
 
-/** A pool as somebody who waits sees it. */
+/** A connection pool as seen by a waiting request. */
 export interface WaitingPlace {
-  /** Grants a connection at once or later, or fails. */
-  join(waiter: PoolWaiter): void;
-  /** Waits no more. */
-  leave(waiter: PoolWaiter): void;
+  /**
+   * Queues a request; the pool then grants it a connection or fails it, possibly before this call returns.
+   */
+  enqueue(waiter: PoolWaiter): void;
+  /** Removes a request from the queue. */
+  dequeue(waiter: PoolWaiter): void;
 }
 
-/** Somebody who waits at pools. */
+/** A request that waits at one or several pools. */
 export interface PoolWaiter {
   readonly demand: LinkDemand;
-  grant(link: SessionLink, place: WaitingPlace): void;
-  /** This pool will not have a connection soon. Nothing was sent. */
-  fail(error: Error, place: WaitingPlace): void;
+  grant(link: SessionLink, source: WaitingPlace): void;
+  /** Called if the pool will not have a connection soon. Nothing was sent. */
+  fail(error: Error, source: WaitingPlace): void;
 }
 
-/** A connection, and the member that it leads to. */
+/** A granted connection and its member. */
 export interface Grant<Member> {
   readonly link: SessionLink;
   readonly member: Member;
 }
 
-/** A wait for one connection. */
+/** Waits for one connection at any number of pools. */
 export class LinkWait<Member> implements PoolWaiter {
-  /** Resolves with the first connection; rejects once no pool is left, or the time is over. */
+  /** Resolves with the first connection; rejects once all pools have failed or the timeout has expired. */
   readonly granted: Promise<Grant<Member>>;
-  /** Why members could not give one. */
+  /** Errors of the members that could not provide a connection. */
   readonly failures = new Map<Member, Error>();
-  readonly #places = new Map<WaitingPlace, Member>();
+  readonly #sources = new Map<WaitingPlace, Member>();
   readonly #members = new Set<Member>();
   readonly #timer: NodeJS.Timeout;
-  #isOver = false;
+  #isFinished = false;
   #resolve: (grant: Grant<Member>) => void = () => undefined;
   #reject: (error: Error) => void = () => undefined;
 
-  /** @param waitMs - longest wait, in milliseconds */
+  /** @param waitMs - timeout, in milliseconds */
   constructor(
     readonly demand: LinkDemand,
     waitMs: number,
@@ -57,69 +59,74 @@
       this.#reject = reject;
     });
     const timeout = new PoolTimeoutError(
-      waitMs > 0 ? 'no connection came free' : 'no time to wait for a connection',
+      waitMs > 0 ? 'no connection became available in time' : 'no time left to wait for a connection',
     );
-    this.#timer = setTimeout(() => this.#end(() => this.#reject(timeout)), Math.max(0, waitMs));
+    this.#timer = setTimeout(() => this.#finish(() => this.#reject(timeout)), Math.max(0, waitMs));
   }
 
-  /** True until there is a connection, or none is waited for any more. */
+  /** True until a connection is granted, or the wait fails or is cancelled. */
   get isWaiting(): boolean {
-    return !this.#isOver;
+    return !this.#isFinished;
   }
 
-  /** Members at which it waits or has waited. */
+  /** Members whose pools have been asked for a connection. */
   get members(): ReadonlySet<Member> {
     return this.#members;
   }
 
-  /** Waits at more members, those first that are given first. */
+  /** Adds the request to the pools of more members, in the given order. */
   joinAll(places: readonly { readonly place: WaitingPlace; readonly member: Member }[]): void {
     const added = places.filter(
-      ({ place, member }) => !this.#places.has(place) && !this.#members.has(member),
+      ({ place: source, member }) => !this.#sources.has(source) && !this.#members.has(member),
     );
-    for (const { place, member } of added) {
-      this.#places.set(place, member);
+    for (const { place: source, member } of added) {
+      this.#sources.set(source, member);
       this.#members.add(member);
     }
-    for (const { place } of added) if (!this.#isOver) place.join(this);
+    for (const { place: source } of added) if (!this.#isFinished) source.enqueue(this);
   }
 
-  grant(link: SessionLink, place: WaitingPlace): void {
-    const member = this.#places.get(place);
-    if (member === undefined) throw new Error('granted by a pool that was not asked');
-    this.#places.delete(place);
-    this.#end(() => this.#resolve({ link, member }));
+  grant(link: SessionLink, source: WaitingPlace): void {
+    const member = this.#sources.get(source);
+    if (member === undefined)
+      throw new Error('connection granted by a pool at which the request does not wait');
+    this.#sources.delete(source);
+    this.#finish(() => this.#resolve({ link, member }));
   }
 
-  fail(error: Error, place: WaitingPlace): void {
-    const member = this.#places.get(place);
-    this.#places.delete(place);
+  fail(error: Error, source: WaitingPlace): void {
+    const member = this.#sources.get(source);
+    this.#sources.delete(source);
     if (member !== undefined) this.failures.set(member, error);
-    if (this.#places.size === 0) this.#end(() => this.#reject(error));
+    if (this.#sources.size === 0) this.#finish(() => this.#reject(error));
   }
 
-  /** Takes a connection that is had without waiting at a pool; `take` throws when there is none. */
+  /**
+   * Completes the wait with a connection that is available without queueing; `take` throws if there is none.
+   */
   settle(member: Member, take: () => SessionLink): void {
-    if (this.#isOver) return;
+    if (this.#isFinished) return;
     this.#members.add(member);
     try {
       const link = take();
-      this.#end(() => this.#resolve({ link, member }));
+      this.#finish(() => this.#resolve({ link, member }));
     } catch (error) {
-      this.#end(() => this.#reject(error instanceof Error ? error : new Error(String(error))));
+      this.#finish(() => this.#reject(error instanceof Error ? error : new Error(String(error))));
     }
   }
 
-  /** The request needs no connection any more. */
+  /** Ends the wait, because the request no longer needs a connection. */
   cancel(): void {
-    this.#end(() => this.#reject(new PoolTimeoutError('needed no more')));
+    this.#finish(() =>
+      this.#reject(new PoolTimeoutError('cancelled: the request no longer needs a connection')),
+    );
   }
 
-  #end(settle: () => void): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+  #finish(settle: () => void): void {
+    if (this.#isFinished) return;
+    this.#isFinished = true;
     clearTimeout(this.#timer);
-    for (const place of this.#places.keys()) place.leave(this);
+    for (const source of this.#sources.keys()) source.dequeue(this);
     settle();
   }
 }
--- a/src/relay/readiness.test.ts
+++ b/src/relay/readiness.test.ts
@@ -1,5 +1,5 @@
 /**
- * When a daemon asks for clients.
+ * When a daemon becomes ready for clients.
  *
  * @packageDocumentation
  */
@@ -7,29 +7,29 @@
 import { test } from 'node:test';
 import { Readiness } from './readiness.js';
 
-test('a daemon is ready once the leader of every group is proven', () => {
+test('a daemon is ready once every group has evidence of a leader', () => {
   const readiness = new Readiness();
-  readiness.look(0, 14, 0);
-  readiness.look(13, 14, 100);
+  readiness.update(0, 14, 0);
+  readiness.update(13, 14, 100);
   assert.equal(readiness.isReady, false);
-  readiness.look(14, 14, 200);
+  readiness.update(14, 14, 200);
   assert.equal(readiness.isReady, true);
-  readiness.look(0, 14, 300);
-  assert.equal(readiness.isReady, true, 'and stays so');
+  readiness.update(0, 14, 300);
+  assert.equal(readiness.isReady, true, 'readiness does not revert');
 });
 
-test('a group without a leader keeps nobody away from the others for long', () => {
+test('a group without a leader delays readiness only for a limited time', () => {
   const readiness = new Readiness();
-  readiness.look(5, 14, 0);
-  readiness.look(13, 14, 1199);
+  readiness.update(5, 14, 0);
+  readiness.update(13, 14, 1199);
   assert.equal(readiness.isReady, false);
-  readiness.look(13, 14, 1200);
+  readiness.update(13, 14, 1200);
   assert.equal(readiness.isReady, true);
 });
 
-test('without any evidence it is not ready, however long it waits', () => {
+test('a daemon without evidence of any leader never becomes ready', () => {
   const readiness = new Readiness();
-  readiness.look(0, 14, 0);
-  readiness.look(0, 14, 60_000);
+  readiness.update(0, 14, 0);
+  readiness.update(0, 14, 60_000);
   assert.equal(readiness.isReady, false);
 });
--- a/src/relay/readiness.ts
+++ b/src/relay/readiness.ts
@@ -1,19 +1,23 @@
 /**
- * When a daemon that has started asks for clients. Pure.
+ * Decides when a daemon that has just started reports itself ready for clients. Pure.
  *
- * A group may have no leader for seconds, for reasons of its own: that is no reason to keep clients of the other groups
- * away. But right after a start evidence arrives group by group, so a little patience spares clients the wait.
+ * One group may have no leader for seconds, which must not keep clients away from the other groups. But
+ * directly after a start, leadership evidence arrives group by group. A short delay avoids sending clients to
+ * groups whose leader is not yet known.
  *
  * @packageDocumentation
  */
 
-/** Wait for the evidence of the last groups after that of the first, in milliseconds: three rounds of questions. */
-const LAST_GROUPS_MS = 1200;
+/**
+ * Time after the first group has a leader until the daemon is ready without the other groups, in
+ * milliseconds: three rounds of status requests.
+ */
+const PARTIAL_READINESS_DELAY_MS = 1200;
 
-/** Whether a daemon can serve; once it can, it stays so. */
+/** Readiness of a daemon; never reverts to false. */
 export class Readiness {
   #isReady = false;
-  #firstProvenAtMs: number | null = null;
+  #firstLeaderAtMs: number | null = null;
 
   /** True once requests can be served. */
   get isReady(): boolean {
@@ -21,15 +25,15 @@
   }
 
   /**
-   * Takes what is known.
+   * Updates the readiness.
    *
-   * @param proven - groups whose leader there is evidence of
-   * @param groups - all groups; 0 where no route leads to any
+   * @param groupsWithLeader - number of groups with evidence of a leader
+   * @param groupCount - number of all groups; 0 without routes
    */
-  look(proven: number, groups: number, nowMs: number): void {
-    if (proven === groups) this.#isReady = true;
-    if (proven === 0) return;
-    this.#firstProvenAtMs ??= nowMs;
-    if (nowMs - this.#firstProvenAtMs >= LAST_GROUPS_MS) this.#isReady = true;
+  update(groupsWithLeader: number, groupCount: number, nowMs: number): void {
+    if (groupsWithLeader === groupCount) this.#isReady = true;
+    if (groupsWithLeader === 0) return;
+    this.#firstLeaderAtMs ??= nowMs;
+    if (nowMs - this.#firstLeaderAtMs >= PARTIAL_READINESS_DELAY_MS) this.#isReady = true;
   }
 }
--- a/src/relay/relay-daemon.ts
+++ b/src/relay/relay-daemon.ts
@@ -1,5 +1,6 @@
 /**
- * Puts the parts of a relay daemon together: sessions, groups of members, evidence of leaders, the duty.
+ * Wires together the parts of a relay daemon: client sessions, member groups, leadership evidence and the
+ * promotion duty.
  *
  * @packageDocumentation
  */
@@ -47,7 +48,7 @@
 import { compareIncarnations, type Incarnation } from '../topology/incarnation.js';
 import { MemberDirectory } from '../topology/member-directory.js';
 import { Member, MemberGroup, type MemberEntry } from '../topology/member-group.js';
-import { LeaderDoubts } from './leader-doubts.js';
+import { FailureDetector } from './leader-doubts.js';
 import { LinkPool } from './link-pool.js';
 import type { MemberDialer, StatusReader } from './member-link.js';
 import type { RelayContext, RelayObserver } from './relay-context.js';
@@ -55,7 +56,7 @@
 import { Readiness } from './readiness.js';
 import { Session } from './session.js';
 
-/** What a relay daemon is given. */
+/** Dependencies and settings of a relay daemon. */
 export interface RelayDaemonOptions {
   readonly self: DaemonRecord;
   readonly zone: string;
@@ -64,70 +65,81 @@
   readonly readStatus: StatusReader;
   readonly promotion: PromotionPort;
   readonly observer: RelayObserver;
-  /** How long a member that leaves may still be given work, in milliseconds. */
+  /** How long requests may still be routed to a member that is leaving, in milliseconds. */
   readonly leaveMs: number;
-  /** Time between two signs of life of a member in the directory, in milliseconds. */
+  /** Interval between two heartbeats of a member in the directory, in milliseconds. */
   readonly heartbeatMs: number;
   /** Key of the configuration in the store. */
   readonly configurationKey: string;
-  /** How long a key may be served after it was taken away, in milliseconds; `null` when no bound is strict. */
+  /**
+   * How long an API key may still be accepted after its revocation, in milliseconds; `null` for no strict
+   * bound.
+   */
   readonly revocationMs: number | null;
-  /** Told of what the store holds and this daemon cannot read. */
+  /** Receives reports of store entries that this daemon cannot parse. */
   readonly faults: EntryFaults;
-  /** An item of the store was not taken: a later one was held. */
+  /** Called when an item from the store is rejected because a newer one is already held. */
   itemNotNewer(): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
   random(): number;
 }
 
-/** Connections that a gateway holds open in advance. */
-const WARM_CONNECTIONS = 2;
+/** Connections that a gateway opens in advance and keeps open while idle. */
+const MIN_IDLE_CONNECTIONS = 2;
 /**
- * Idle connections that a gateway keeps where each belongs to a tenant, which may come back: half of what it may have, since
- * members count those of machines that lost power for 3 s, and the gateways open others meanwhile (with all kept, 1,070
- * connections over the limit of members after two losses of power; 286 with half).
+ * Idle connections that a gateway keeps where each connection belongs to one tenant, which may send again:
+ * half of its connection budget. For 3 s, a member still counts the connections of a machine that has lost
+ * power, while gateways already open others. After two power losses, 1,070 connections exceeded the members'
+ * limits if gateways kept the whole budget, and 286 if they kept half of it.
  */
-const KEPT_TENANT_CONNECTIONS = 4;
-/** Time between looks at silence and departures, in milliseconds. */
+const MIN_IDLE_TENANT_CONNECTIONS = 4;
+/** Interval between checks for unresponsive and leaving members, in milliseconds. */
 const TICK_MS = 50;
-/** The same while this daemon has nothing under way at any member, in milliseconds: less than any silence that counts. */
-const REST_TICK_MS = 100;
-const DIAL_MS = 400;
+/**
+ * The same while no request to a member is in flight, in milliseconds: shorter than every unresponsiveness
+ * threshold.
+ */
+const IDLE_TICK_MS = 100;
+const DIAL_TIMEOUT_MS = 400;
 const LIMIT_BACKOFF_MS = 100;
-/** Time after which a connection that is not needed is ended, in milliseconds. */
-const IDLE_MS = 800;
-/** Time between two looks of the holder of the duty at its connections to the other daemons, in milliseconds. */
-const RECONNECT_MS = 500;
-/** Daemons that look whether a holder of the duty has ended. */
-const END_WATCHERS = 3;
-/** For how long a former holder of the duty ends what it has begun at members, in milliseconds: as long as a promotion. */
-const DUTY_WIND_UP_MS = 2500;
+/** Idle time after which a connection above the minimum is closed, in milliseconds. */
+const IDLE_TIMEOUT_MS = 800;
+/** Interval at which the duty holder reopens lost connections to the other daemons, in milliseconds. */
+const RECONNECT_INTERVAL_MS = 500;
+/** Number of daemons that check whether the process of a disconnected duty holder has exited. */
+const HOLDER_EXIT_CHECKERS = 3;
 /**
- * Time in which others hear of a configuration by the changes of the store, in milliseconds: it is not sent whole to those who
- * ask for a proof meanwhile.
+ * How long a former duty holder may still open connections to members to complete what it has started there,
+ * in milliseconds: as long as a promotion takes.
  */
-const CHANGES_COME_MS = 1500;
+const DUTY_HANDOVER_MS = 2500;
+/**
+ * Time in which a new configuration reaches the other daemons through the store's change feed, in
+ * milliseconds. Until then, replies to daemons that ask for a proof leave out the configuration itself.
+ */
+const CHANGE_PROPAGATION_MS = 1500;
+
 interface WatchedGroup {
   readonly group: MemberGroup;
   readonly watcher: LeadershipWatcher;
 }
 
-/** A relay daemon without its sockets towards clients. */
+/** A relay daemon without its client-facing sockets. */
 export class RelayDaemon {
   readonly catalog = new Catalog();
-  /** The copy of the store; whoever makes the daemon runs it. */
+  /** Local copy of the coordination store. The creator of the daemon has to run it. */
   readonly watched: WatchedStore;
   readonly #groups = new Map<string, WatchedGroup>();
-  /** Groups that were watched before: what was acknowledged then is forgotten. */
+  /** Groups that were watched earlier: the record of commits acknowledged for them has been discarded. */
   readonly #droppedGroups = new Set<string>();
-  /** The members as the platform lists them. */
+  /** The members that the platform lists. */
   readonly directory: MemberDirectory;
-  readonly #doubts: LeaderDoubts;
+  readonly #failureDetector: FailureDetector;
   readonly #control: MemberControl;
   readonly #mesh: PeerMesh;
-  /** Since when this process takes orders, in monotonic milliseconds. */
-  #listensFromMs = Number.POSITIVE_INFINITY;
+  /** When this process began to accept orders, in monotonic milliseconds. */
+  #listeningSinceMs = Number.POSITIVE_INFINITY;
   readonly #duty: Duty;
   readonly #context: RelayContext;
   readonly #daemons = new DaemonDirectory();
@@ -137,12 +149,12 @@
   readonly #delegations = new Delegations(() => this.#daemons.live);
   readonly #supervision = new Supervision({
     supervisorOptions: (group) => this.#supervisorOptions(group),
-    runForever: (loop) => this.#runForever(loop),
+    runForever: (loop) => this.#runLoop(loop),
   });
   readonly #gatewayClient: GatewayClient;
   readonly #gatewayServer: GatewayServer;
-  readonly #sharing: EvidenceSharing;
-  readonly #evidenceAnswers = new EvidenceAnswers(() => this.#sharing.ownEvidence());
+  readonly #evidenceSharing: EvidenceSharing;
+  readonly #evidenceAnswers = new EvidenceAnswers(() => this.#evidenceSharing.ownEvidence());
   readonly #assignments: Assignments;
   readonly #configurationLease: ConfigurationLease;
   readonly #leaseRenewal: LeaseRenewal;
@@ -150,15 +162,17 @@
   readonly #readiness = new Readiness();
   #tickTimer: NodeJS.Timeout | null = null;
   #isStopped = false;
-  #plannedStop: PlannedStop | null = null;
+  #shutdownSchedule: PlannedStop | null = null;
   #startedAtMs = 0;
-  /** When the configuration in force came. */
-  #catalogAtMs = Number.NEGATIVE_INFINITY;
-  /** Until when a former holder of the duty may end what it has begun over connections of its own. */
-  #mayConnectUntilMs = Number.NEGATIVE_INFINITY;
-  #wasYoung = true;
-  /** When the holder of the duty last saw to its connections. */
-  #connectedAtMs = Number.NEGATIVE_INFINITY;
+  /** When the active configuration was received, in monotonic milliseconds. */
+  #catalogReceivedAtMs = Number.NEGATIVE_INFINITY;
+  /**
+   * Until when a former duty holder may open control connections of its own to complete what it has started.
+   */
+  #dutyHandoverUntilMs = Number.NEGATIVE_INFINITY;
+  #wasStartingUp = true;
+  /** When the duty holder last reopened its connections to the other daemons. */
+  #peersConnectedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: RelayDaemonOptions) {
     const { self, store, dialer, readStatus, now, random } = options;
@@ -180,11 +194,11 @@
       startedAtMs: () => this.#startedAtMs,
       now,
     });
-    this.#doubts = new LeaderDoubts({
+    this.#failureDetector = new FailureDetector({
       ownName: self.name,
       tickMs: TICK_MS,
-      tell: (suspicion) => this.#tellHolder(suspicion),
-      wake: (groupName) => this.#groups.get(groupName)?.watcher.wake(),
+      report: (suspicion) => this.#reportSuspicion(suspicion),
+      wakeWatcher: (groupName) => this.#groups.get(groupName)?.watcher.wake(),
       log: options.log,
       now,
     });
@@ -207,18 +221,18 @@
     this.#control = new MemberControl({
       dialer,
       readStatus,
-      mayConnect: () => this.isDutyHolder || now() < this.#mayConnectUntilMs,
+      mayConnect: () => this.isDutyHolder || now() < this.#dutyHandoverUntilMs,
       now,
     });
     this.#mesh = new PeerMesh(self, {
-      order: (order) => this.#obey(order),
-      suspicion: (suspicion) => this.#heed(suspicion),
+      order: (order) => this.#applyOrder(order),
+      suspicion: (suspicion) => this.#handleSuspicion(suspicion),
       ownEvidence: (knownVersion) => this.#evidenceAnswers.answer(knownVersion),
       daemonEnded: (name) => {
         options.log('daemon_ended', { name });
         this.#supervision.daemonEnded();
       },
-      holderLeft: (host) => this.#lookForEndOf(host),
+      holderLeft: (host) => this.#checkHolderExit(host),
     });
     this.#gatewayClient = new GatewayClient(self.host, now, random);
     const feed = new DelegatedFeed({
@@ -245,11 +259,11 @@
     this.watched.subscribe(COORDINATION_PREFIX, {
       changed: () => undefined,
       removed: () => undefined,
-      settled: () => this.#keysChanged(),
+      settled: () => this.#onCoordinationKeysChanged(),
       availability: (isAvailable) => {
         this.#daemons.availability(isAvailable, now());
         if (isAvailable) this.#duty.storeRegained();
-        this.#retireWhileSettling();
+        this.#retireQuotasWhileSettling();
       },
     });
     this.#configurationLease = new ConfigurationLease(options.revocationMs);
@@ -281,10 +295,10 @@
       pool: (groupName, life) => this.#lendablePool(groupName, life),
       ownEvidence: (knownVersion) => this.#evidenceAnswers.answer(knownVersion),
       changes: (afterRevision, waitMs) => changeRelay.ask(afterRevision, waitMs),
-      configuration: (heldVersion) => this.#passedConfiguration(heldVersion),
+      configuration: (heldVersion) => this.#configurationReply(heldVersion),
       grant: (request) => this.#quotas.grant(request),
     });
-    this.#sharing = new EvidenceSharing({
+    this.#evidenceSharing = new EvidenceSharing({
       ownName: self.name,
       zone: options.zone,
       groups: () => this.groups,
@@ -305,15 +319,15 @@
         this.#registration.registered(now());
         for (const { watcher } of this.#groups.values()) watcher.wake();
       },
-      taken: (fence: number) => this.#dutyTaken(fence),
-      lost: (reason: string) => this.#dutyLost(reason),
+      taken: (fence: number) => this.#onDutyTaken(fence),
+      lost: (reason: string) => this.#onDutyLost(reason),
     };
     this.#duty = new Duty(
       store,
       self,
       () => this.watched,
       listener,
-      (holder) => this.#isEnded(holder),
+      (holder) => this.#hasHolderEnded(holder),
       now,
       random,
       () => dutyTurnMs(self.name, this.#daemons.live),
@@ -326,30 +340,30 @@
       zone: options.zone,
       observer: options.observer,
       group: (name) => this.#groups.get(name)?.group ?? null,
-      plannedStop: () => this.#plannedStop,
+      plannedStop: () => this.#shutdownSchedule,
       now,
       readStatus,
-      suspect: (group, member, reason) => this.#doubts.suspect(group, member, reason),
+      suspect: (group, member, reason) => this.#failureDetector.suspect(group, member, reason),
     };
   }
 
-  /** True once requests can be served; stays so. */
+  /** True once requests can be served; never reverts to false. */
   get isReady(): boolean {
-    this.#lookWhetherReady();
+    this.#updateReadiness();
     return this.#readiness.isReady;
   }
 
-  /** The groups, for status and metrics. */
+  /** All watched groups. */
   get groups(): readonly MemberGroup[] {
     return [...this.#groups.values()].map(({ group }) => group);
   }
 
-  /** True while this daemon has the promotion duty. */
+  /** True while this daemon holds the promotion duty: it alone may promote members. */
   get isDutyHolder(): boolean {
     return this.#duty.isHolder;
   }
 
-  /** What the metrics show of the groups. */
+  /** The state of the groups as exported in the metrics. */
   describeGroups(): RelayState['groups'] {
     const now = this.options.now();
     return this.groups.map((group) => ({
@@ -360,106 +374,117 @@
     }));
   }
 
-  /** Starts to listen for other daemons and to follow the store. */
+  /** Starts listening for other daemons and starts the background loops. */
   async start(): Promise<void> {
     this.#startedAtMs = this.options.now();
     const { host, port, gatewayPort } = this.options.self;
     await this.#mesh.listen(host, port);
-    this.#listensFromMs = this.options.now();
+    this.#listeningSinceMs = this.options.now();
     await this.#gatewayServer.listen(host, gatewayPort);
     this.#duty.prepare();
-    this.#runForever(this.#sharing.run());
-    this.#runForever(this.#leaseRenewal.run());
+    this.#runLoop(this.#evidenceSharing.run());
+    this.#runLoop(this.#leaseRenewal.run());
     this.#scheduleTick();
   }
 
-  /** Daemons that take part in the work, this one included. */
+  /** Number of live daemons, this one included. */
   get liveDaemons(): number {
     return this.#daemons.live.length;
   }
 
-  /** Loans of other daemons that are not returned yet. */
+  /** Number of connections that are on loan to other daemons. */
   get openLoans(): number {
     return this.#gatewayServer.openLoans;
   }
 
-  /** Gives up the duty and lends no more; sessions and open loans go on, until the times of the plan. */
+  /**
+   * Starts the shutdown: releases the promotion duty and accepts no new loans. Sessions and open loans
+   * continue until the times of the schedule.
+   */
   async retire(plan: PlannedStop): Promise<void> {
-    this.#plannedStop = plan;
-    this.#retireWhileSettling();
+    this.#shutdownSchedule = plan;
+    this.#retireQuotasWhileSettling();
     this.#gatewayServer.leave();
     await Promise.race([this.#duty.stop(), delay(500)]);
   }
 
   /**
-   * A home of quotas that is about to stop goes on until all have heard of the end of its lease; after an outage of the store some
-   * have, and others will not for seconds: then two homes would grant. Retiring always refused tenants what they may have (380
-   * tries in 8 s of stops in series instead of 253).
+   * Stops granting quotas before a shutdown, but only while the daemons still settle after a store outage.
+   * Normally a quota owner that stops goes on granting until every daemon has seen its lease end. After an
+   * outage some daemons have seen it and others will not for seconds, so two owners would grant the same
+   * quota. Doing this on every shutdown refused tenants operations within their quota (380 refusals instead
+   * of 253 in 8 s of successive shutdowns).
    */
-  #retireWhileSettling(): void {
-    if (this.#plannedStop !== null && this.#daemons.isSettling(this.options.now())) this.#quotas.retire();
+  #retireQuotasWhileSettling(): void {
+    if (this.#shutdownSchedule !== null && this.#daemons.isSettling(this.options.now()))
+      this.#quotas.retire();
   }
 
-  /** Loans that rest inside a transaction are ended, with nothing kept, and no more are made. */
+  /** Rolls back and ends loans that are idle inside a transaction, and accepts no new loans. */
   windUpLoans(): void {
     this.#gatewayServer.windUp();
   }
 
-  /** Ends every loan; resolves once its borrowers have been told, which the caller bounds. */
+  /**
+   * Ends every loan and resolves once all borrowers have been notified. Has no timeout of its own: the caller
+   * sets one.
+   */
   finishLoans(): Promise<void> {
     return this.#gatewayServer.finish();
   }
 
-  /** Ends everything. */
+  /** Stops all loops and closes all connections. */
   stop(): void {
     this.#isStopped = true;
     if (this.#tickTimer !== null) clearTimeout(this.#tickTimer);
-    this.#sharing.stop();
+    this.#evidenceSharing.stop();
     this.#leaseRenewal.stop();
     this.#mesh.close();
     this.#gatewayServer.close();
     this.#gatewayClient.close();
-    for (const watched of this.#groups.values()) this.#forgetGroup(watched);
+    for (const watched of this.#groups.values()) this.#closeGroup(watched);
   }
 
-  /** Opens a session on a database, for whoever holds a key. */
+  /** Opens a session on a database, authenticated by an API key if there is one. */
   openSession(database: string, key: KeyDigest | null): Session {
     return new Session(this.#context, database, key);
   }
 
-  /** Takes a configuration if it is newer; `revision` is that of its item in the store. */
+  /**
+   * Applies a configuration if it is newer than the active one; `revision` is the store revision of its item.
+   */
   offerCatalog(document: CatalogDocument, revision: Revision): boolean {
     const isTaken = this.catalog.offer(document);
     if (document.version === this.catalog.document?.version)
       this.#configurationLease.adopt(document.version, revision, this.options.now());
     if (!isTaken) return false;
-    this.#catalogAtMs = this.options.now();
+    this.#catalogReceivedAtMs = this.options.now();
     this.#assignments.clear();
     this.#syncGroups(document);
     return true;
   }
 
-  /** What this daemon knows of the newest configuration, for one who holds a version of it. */
-  #passedConfiguration(heldVersion: number): PassedConfiguration {
+  /** Answers a daemon that holds `heldVersion` and asks for the newest configuration that is known here. */
+  #configurationReply(heldVersion: number): PassedConfiguration {
     const now = this.options.now();
     const lease = this.#configurationLease;
     const item = this.watched.items.get(this.options.configurationKey);
-    const isOwed =
+    const mustSendItem =
       item !== undefined &&
       isSameRevision(item.revision, lease.heldRevision) &&
       lease.heldVersion > heldVersion &&
-      now - this.#catalogAtMs > CHANGES_COME_MS;
-    return { version: lease.heldVersion, proof: lease.handOn(now), item: isOwed ? item : null };
+      now - this.#catalogReceivedAtMs > CHANGE_PROPAGATION_MS;
+    return { version: lease.heldVersion, proof: lease.handOn(now), item: mustSendItem ? item : null };
   }
 
-  #lookWhetherReady(): void {
+  #updateReadiness(): void {
     if (this.#readiness.isReady || this.catalog.document === null || !this.directory.isLoaded) return;
     const now = this.options.now();
-    const proven = this.groups.filter((group) => group.leader(now) !== null);
-    this.#readiness.look(proven.length, this.groups.length, now);
+    const groupsWithLeader = this.groups.filter((group) => group.leader(now) !== null);
+    this.#readiness.update(groupsWithLeader.length, this.groups.length, now);
   }
 
-  /** Groups follow the routes: one is watched while a route leads to it. */
+  /** Watches exactly the groups that a route of the configuration refers to. */
   #syncGroups(document: CatalogDocument): void {
     const wanted = new Set([...document.routes.values()].map((route) => route.groupName));
     for (const name of wanted) if (!this.#groups.has(name)) this.#addGroup(name);
@@ -467,7 +492,7 @@
       if (wanted.has(name)) continue;
       this.#groups.delete(name);
       this.#droppedGroups.add(name);
-      this.#forgetGroup(watched);
+      this.#closeGroup(watched);
     }
   }
 
@@ -476,7 +501,7 @@
     const group = new MemberGroup(
       name,
       () => this.#registration.countsFromMs,
-      () => this.#hasForgotten(name),
+      () => this.#mayHaveAcknowledgedEarlier(name),
     );
     const listener = {
       evidenceChanged: (_group: MemberGroup, memberId: string | null, reason: string) =>
@@ -493,18 +518,18 @@
       this.#control,
       listener,
       () => this.#duty.held,
-      () => options.now() >= this.#registration.countsFromMs && this.#sharing.asksWitnesses(group),
-      () => this.#sharing.isReliedOn,
+      () => options.now() >= this.#registration.countsFromMs && this.#evidenceSharing.asksWitnesses(group),
+      () => this.#evidenceSharing.isReliedOn,
       options.now,
     );
     const watched: WatchedGroup = { group, watcher };
     this.#groups.set(name, watched);
     this.directory.fill(group);
-    this.#runForever(watcher.run());
+    this.#runLoop(watcher.run());
     if (this.isDutyHolder) this.#supervision.begin(group);
   }
 
-  #forgetGroup(watched: WatchedGroup): void {
+  #closeGroup(watched: WatchedGroup): void {
     watched.watcher.stop();
     this.#supervision.end(watched.group.name);
     for (const member of watched.group.members.values()) member.pool.own.close();
@@ -516,12 +541,12 @@
       dialer: options.dialer,
       address: entry,
       budget: () => this.#assignments.budget(member.entry),
-      dialTimeoutMs: DIAL_MS,
+      dialTimeoutMs: DIAL_TIMEOUT_MS,
       limitBackoffMs: LIMIT_BACKOFF_MS,
-      idleMs: IDLE_MS,
+      idleMs: IDLE_TIMEOUT_MS,
       random: options.random,
       serviceMs: () => member.latencyMs,
-      onTrouble: (reason) => this.#suspect(entry.groupName, member, reason),
+      onTrouble: (reason) => this.#onMemberFailure(entry.groupName, member, reason),
       now: options.now,
     });
     const connections = new MemberConnections({
@@ -539,80 +564,94 @@
     return member;
   }
 
-  /** The pool of a member from which other daemons may borrow, or `null`, also when another life is meant. */
+  /**
+   * The pool of a member from which other daemons may borrow; `null` if there is none or the requested
+   * incarnation is not the current one.
+   */
   #lendablePool(groupName: string, life: Incarnation): LinkPool | null {
     const member = this.#groups.get(groupName)?.group.members.get(life.memberId);
     if (member === undefined || compareIncarnations(member.entry, life) !== 'same') return null;
     return this.#assignments.connects(member.entry) ? member.pool.own : null;
   }
 
-  /** An idle daemon of a large fleet would spend much of its processor time on being woken. */
+  /**
+   * Schedules the next tick, later while idle: with the short interval, timer wake-ups take much of an idle
+   * daemon's CPU time.
+   */
   #scheduleTick(): void {
     const run = (): void => {
       this.#tick();
       if (!this.#isStopped) this.#scheduleTick();
     };
-    this.#tickTimer = setTimeout(run, this.#isAtRest() ? REST_TICK_MS : TICK_MS);
+    this.#tickTimer = setTimeout(run, this.#isIdle() ? IDLE_TICK_MS : TICK_MS);
   }
 
-  /** True while no request and no loan is under way. */
-  #isAtRest(): boolean {
+  /** True while no request and no loan is in progress. */
+  #isIdle(): boolean {
     return this.groups.every((group) => [...group.members.values()].every(({ pool }) => pool.load === 0));
   }
 
   #tick(): void {
     for (const { group } of this.#groups.values()) {
-      this.#doubts.check(group);
+      this.#failureDetector.check(group);
       this.directory.check(group);
       for (const member of group.members.values()) {
         member.pool.own.trim();
-        if (this.#assignments.isGateway(member.entry)) this.#keepWarm(member.pool.own);
+        if (this.#assignments.isGateway(member.entry)) this.#maintainIdleConnections(member.pool.own);
       }
     }
     this.#control.trim();
     this.#gatewayClient.check();
-    this.#lookWhetherReady();
-    const hasSettled = this.#wasYoung && !this.#assignments.isYoung;
-    this.#wasYoung = this.#assignments.isYoung;
-    if (this.#daemons.refresh(this.options.now()) || hasSettled) this.#daemonsChanged();
-    this.#keepConnected();
+    this.#updateReadiness();
+    const hasStartedUp = this.#wasStartingUp && !this.#assignments.isYoung;
+    this.#wasStartingUp = this.#assignments.isYoung;
+    if (this.#daemons.refresh(this.options.now()) || hasStartedUp) this.#onDaemonsChanged();
+    this.#reconnectPeers();
   }
 
-  /** For whom connections to open is known in advance only where there are no tenants. */
-  #keepWarm(pool: LinkPool): void {
+  /**
+   * Opens connections in advance only without tenants: otherwise it is not known which tenant will need one.
+   */
+  #maintainIdleConnections(pool: LinkPool): void {
     if (this.catalog.tenants.size > 0) {
-      pool.keep(KEPT_TENANT_CONNECTIONS);
+      pool.setMinIdle(MIN_IDLE_TENANT_CONNECTIONS);
       return;
     }
-    pool.keep(WARM_CONNECTIONS);
+    pool.setMinIdle(MIN_IDLE_CONNECTIONS);
     pool.warm();
   }
 
-  /** The holder of the duty opens connections to the others that were lost: over them it is asked for evidence. */
-  #keepConnected(): void {
+  /**
+   * On the duty holder, reopens lost connections to the other daemons, which ask for leadership evidence over
+   * them.
+   */
+  #reconnectPeers(): void {
     const now = this.options.now();
-    if (!this.isDutyHolder || now - this.#connectedAtMs < RECONNECT_MS) return;
-    this.#connectedAtMs = now;
+    if (!this.isDutyHolder || now - this.#peersConnectedAtMs < RECONNECT_INTERVAL_MS) return;
+    this.#peersConnectedAtMs = now;
     this.#mesh.connectAll(this.#daemons.live);
   }
 
-  #suspect(groupName: string, member: Member, reason: string): void {
+  #onMemberFailure(groupName: string, member: Member, reason: string): void {
     const group = this.#groups.get(groupName)?.group;
     if (group === undefined) member.avoid(this.options.now());
-    else this.#doubts.suspect(group, member, reason);
+    else this.#failureDetector.suspect(group, member, reason);
   }
 
-  /** Tells the holder of the duty of a doubt. */
-  #tellHolder(suspicion: Suspicion): void {
-    if (this.isDutyHolder) this.#heed(suspicion);
+  /** Reports a suspected leader to the duty holder, which may be this daemon. */
+  #reportSuspicion(suspicion: Suspicion): void {
+    if (this.isDutyHolder) this.#handleSuspicion(suspicion);
     else this.#mesh.suspect(suspicion);
   }
 
-  /** An order of the holder of the duty. */
-  #obey(order: HolderOrder): OrderAnswer {
+  /** Applies an order of the duty holder and answers what this daemon has acknowledged so far. */
+  #applyOrder(order: HolderOrder): OrderAnswer {
     const watched = this.#groups.get(order.groupName);
     if (watched === undefined)
-      return { latest: ZERO_POSITION, limit: this.#hasForgotten(order.groupName) ? null : ZERO_POSITION };
+      return {
+        latest: ZERO_POSITION,
+        limit: this.#mayHaveAcknowledgedEarlier(order.groupName) ? null : ZERO_POSITION,
+      };
     const { group, watcher } = watched;
     this.options.log('order', { ...order });
     switch (order.kind) {
@@ -640,7 +679,7 @@
     const openCall = group.calls.open(this.options.now());
     return {
       ...acknowledged,
-      ...this.#counted(group.name),
+      ...this.#countingTime(group.name),
       ...(lastLed === null ? {} : { lastLed }),
       ...(openCall === null ? {} : { openCall }),
       ...(newest === null
@@ -650,61 +689,69 @@
   }
 
   /**
-   * For how long this process has kept count: the earlier one at its address had let go of the port on which this one takes orders.
-   * What runs on at a group that was dropped is counted nowhere.
+   * For how long this process has recorded the commits that its daemon acknowledges. Given only if the
+   * previous process used the same address: it must have released the port on which this one accepts orders.
+   * Left out for a group that was dropped earlier, since commits still in flight there at that time are
+   * recorded nowhere.
    */
-  #counted(groupName: string): Pick<OrderAnswer, 'countedMs'> {
+  #countingTime(groupName: string): Pick<OrderAnswer, 'countedMs'> {
     const isKnown = this.#registration.isAtFormerAddress && !this.#droppedGroups.has(groupName);
-    return isKnown ? { countedMs: this.options.now() - this.#listensFromMs } : {};
+    return isKnown ? { countedMs: this.options.now() - this.#listeningSinceMs } : {};
   }
 
   /** True when this daemon may have acknowledged commits of a group before it last began to watch it. */
-  #hasForgotten(groupName: string): boolean {
+  #mayHaveAcknowledgedEarlier(groupName: string): boolean {
     return this.#registration.hasPredecessor || this.#droppedGroups.has(groupName);
   }
 
-  /** Some daemons look whether the one that gave them orders has ended: the next holder of the duty has to know since when. */
-  #lookForEndOf(host: string): void {
+  /**
+   * Checks on a few daemons whether a disconnected duty holder has exited: the next holder needs the time
+   * since which it is known to be gone.
+   */
+  #checkHolderExit(host: string): void {
     if (this.#isStopped) return;
     const holder = this.#daemons.live.find((record) => record.host === host);
     if (holder === undefined) return;
     const others = this.#daemons.live.filter((record) => record !== holder);
-    const looking = preferredDaemons(holder.name, others, END_WATCHERS);
-    if (looking.some(({ name }) => name === this.options.self.name))
-      this.#runForever(this.#mesh.lookForEnd(holder));
+    const checkers = preferredDaemons(holder.name, others, HOLDER_EXIT_CHECKERS);
+    if (checkers.some(({ name }) => name === this.options.self.name))
+      this.#runLoop(this.#mesh.lookForEnd(holder));
   }
 
-  /** Another daemon doubts a leader. */
-  #heed(suspicion: Suspicion): void {
+  /** Handles the suspicion of any daemon, this one included, against a leader. */
+  #handleSuspicion(suspicion: Suspicion): void {
     this.#supervision.suspect(suspicion.groupName, suspicion);
   }
 
-  #keysChanged(): void {
+  #onCoordinationKeysChanged(): void {
     const { registered, leased, unreadable } = readDaemons(this.watched.items, this.options.faults);
-    if (this.#daemons.update(registered, leased, this.options.now())) this.#daemonsChanged();
+    if (this.#daemons.update(registered, leased, this.options.now())) this.#onDaemonsChanged();
     this.#duty.look();
     if (!this.#isDutyStarted) this.#startDuty(registered, unreadable);
-    this.#lookForLostRecords();
-    this.#runForever(this.#duty.keysChanged());
+    this.#restoreLostRecords();
+    this.#runLoop(this.#duty.keysChanged());
   }
 
-  /** In each later era of the store; in a large fleet only those who follow it for the others. */
-  #lookForLostRecords(): void {
+  /**
+   * Rewrites daemon records that the store has lost, once for each new store era. In a large fleet only the
+   * delegates that watch the store for the others do so.
+   */
+  #restoreLostRecords(): void {
     if (!this.#lostRecords.isDue(this.watched.revision.era)) return;
     const delegates = this.#delegations.of('store');
-    const isCalled = delegates === null || delegates.some(({ name }) => name === this.options.self.name);
-    if (isCalled) this.#runForever(this.#lostRecords.restore());
+    const isDelegate = delegates === null || delegates.some(({ name }) => name === this.options.self.name);
+    if (isDelegate) this.#runLoop(this.#lostRecords.restore());
   }
 
-  /** Registers once it is known what the store has of this daemon from before. */
+  /** Registers this daemon, after reading what an earlier process of it has left in the store. */
   #startDuty(registered: ReadonlyMap<string, DaemonRecord>, unreadable: ReadonlySet<string>): void {
     this.#isDutyStarted = true;
     const isBehind = this.#duty.isRegisterBehind;
     this.#registration.firstLook(registered, this.options.now(), { unreadable, isBehind });
-    this.#runForever(this.#duty.run());
+    this.#runLoop(this.#duty.run());
   }
 
-  #daemonsChanged(): void {
+  #onDaemonsChanged(): void {
     this.watched.watchers = Math.max(1, this.#daemons.live.length);
     this.#assignments.clear();
     this.#delegations.clear();
@@ -713,14 +760,14 @@
     if (this.isDutyHolder) this.#mesh.connectAll(this.#daemons.live);
   }
 
-  /** True when the process of a former holder of the duty has certainly ended. */
-  async #isEnded({ name, life }: DutyHolder): Promise<boolean> {
+  /** True if the process of a former duty holder has certainly exited. */
+  async #hasHolderEnded({ name, life }: DutyHolder): Promise<boolean> {
     const record = this.#daemons.find(name);
     if (record === null) return false;
     return record.life !== life || this.#mesh.isGone(record);
   }
 
-  #dutyTaken(fence: number): void {
+  #onDutyTaken(fence: number): void {
     this.options.log('duty_taken', { fence });
     this.#mesh.connectAll(this.#daemons.live);
     for (const { group } of this.#groups.values()) {
@@ -729,22 +776,22 @@
     }
   }
 
-  #dutyLost(reason: string): void {
+  #onDutyLost(reason: string): void {
     this.options.log('duty_lost', { reason });
-    this.#mayConnectUntilMs = this.options.now() + DUTY_WIND_UP_MS;
+    this.#dutyHandoverUntilMs = this.options.now() + DUTY_HANDOVER_MS;
     this.#mesh.disconnectAll();
     this.#supervision.endAll();
     for (const { group } of this.#groups.values()) group.evidence.unconfirm();
   }
 
-  /** Daemons that connect to a member themselves, and so can tell that it is out of reach. */
+  /** Number of daemons that connect directly to a member and can therefore detect that it is unreachable. */
   #callerCount(group: MemberGroup, memberId: string): number {
     const member = group.members.get(memberId);
     const gateways = member === undefined ? null : this.#assignments.of(member.entry).gateways;
     return gateways?.length ?? this.#daemons.live.length;
   }
 
-  /** Gives an order to all other daemons, or to some of them. */
+  /** Sends an order to all other daemons, or to the given recipients. */
   #order(order: HolderOrder, timeoutMs: number, recipients?: Recipients): Promise<OrderOutcomes> {
     const known = this.#daemons.known(this.options.now());
     if (recipients !== undefined && 'only' in recipients)
@@ -753,10 +800,10 @@
         order,
         timeoutMs,
       );
-    const isMeant = ({ name }: DaemonRecord): boolean => recipients?.except.has(name) !== true;
+    const isRecipient = ({ name }: DaemonRecord): boolean => recipients?.except.has(name) !== true;
     const ports = {
-      known: () => known.filter(isMeant),
-      readRegister: async () => (await listLeasedDaemons(this.options.store)).filter(isMeant),
+      known: () => known.filter(isRecipient),
+      readRegister: async () => (await listLeasedDaemons(this.options.store)).filter(isRecipient),
       isRegisterBehind: () => this.#duty.isRegisterBehind,
       send: this.#mesh.order.bind(this.#mesh),
     };
@@ -782,8 +829,11 @@
     };
   }
 
-  /** A loop of the daemon ended with an error that nothing expects: the process must not go on without it. */
-  #runForever(loop: Promise<void>): void {
+  /**
+   * Runs a background loop. If it fails, the error is rethrown unhandled: the process must not continue
+   * without the loop.
+   */
+  #runLoop(loop: Promise<void>): void {
     loop.catch((error: unknown) => {
       const details = { error: error instanceof Error ? (error.stack ?? error.message) : String(error) };
       this.options.log('loop_failed', details);
