--- a/src/relay/leader-doubts.ts
+++ b/src/relay/leader-doubts.ts
@@ -85,7 +85,7 @@
     const leader = group.leader(now);
     if (leader === null) return;
     this.#report(group, leader, 'stalled');
-    leader.pool.own.rejectWaiters('commits at the leader are stalled', ({ isWrite }) => isWrite);
+    leader.pool.own.rejectWaiters('commits stall', ({ isWrite }) => isWrite);
   }
 
   /** Reports a leader that answers but fails many requests: another member can replace it. */
@@ -103,7 +103,7 @@
     if (hasJustExceeded && isLeaderOf(group, member)) this.#report(group, member, 'silent');
     if (unansweredMs < MEMBER_UNRESPONSIVE_MS) return;
     this.suspect(group, member, 'silent');
-    own.rejectWaiters('the member does not answer');
+    own.rejectWaiters('the member is silent');
     if (unansweredMs >= CLOSE_UNRESPONSIVE_MS) own.closeAll();
   }
 
--- a/src/relay/link-pool.ts
+++ b/src/relay/link-pool.ts
@@ -135,7 +135,7 @@
   /** Grants an idle connection immediately, or enqueues the request. */
   enqueue(waiter: PoolWaiter): void {
     if (this.#isClosed) {
-      waiter.fail(new PoolTimeoutError('the connection pool is closed: the member has left'), this);
+      waiter.fail(new PoolTimeoutError('the member has left'), this);
       return;
     }
     const { demand } = waiter;
@@ -294,7 +294,7 @@
   close(): void {
     this.#isClosed = true;
     for (const { link } of [...this.#idle]) link.close();
-    this.rejectWaiters('the connection pool was closed: the member has left');
+    this.rejectWaiters('the member has left');
   }
 
   /** Grants connections again after {@link LinkPool.close}, but not after {@link LinkPool.end}. */
--- a/src/relay/link-wait.ts
+++ b/src/relay/link-wait.ts
@@ -59,7 +59,7 @@
       this.#reject = reject;
     });
     const timeout = new PoolTimeoutError(
-      waitMs > 0 ? 'no connection became available in time' : 'no time left to wait for a connection',
+      waitMs > 0 ? 'no connection came free' : 'no time to wait for a connection',
     );
     this.#timer = setTimeout(() => this.#finish(() => this.#reject(timeout)), Math.max(0, waitMs));
   }
@@ -117,9 +117,7 @@
 
   /** Ends the wait, because the request no longer needs a connection. */
   cancel(): void {
-    this.#finish(() =>
-      this.#reject(new PoolTimeoutError('cancelled: the request no longer needs a connection')),
-    );
+    this.#finish(() => this.#reject(new PoolTimeoutError('needed no more')));
   }
 
   #finish(settle: () => void): void {
--- a/src/relay/pooled-link.ts
+++ b/src/relay/pooled-link.ts
@@ -116,8 +116,7 @@
   async prepare(prepared: PreparedShape): Promise<string> {
     const name = memberNameOf(prepared);
     if (this.#prepared.has(name)) return name;
-    if (this.#prepared.size >= MAX_PREPARED_NAMES)
-      throw this.#closeWithError('too many prepared statements on the connection');
+    if (this.#prepared.size >= MAX_PREPARED_NAMES) throw this.#closeWithError('too many prepared names');
     await this.#sendOrClose({ kind: 'prepare', name, prepared });
     this.#prepared.add(name);
     return name;
