--- a/src/coordination/coordination-store.ts
+++ b/src/coordination/coordination-store.ts
@@ -1,5 +1,6 @@
 /**
- * The port to the key-value store that daemons coordinate through: compare-and-swap, leases, watches.
+ * Interface of the key-value store through which daemons coordinate: compare-and-swap transactions, leases
+ * and watches.
  *
  * @packageDocumentation
  */
@@ -11,52 +12,51 @@
 export interface StoredItem {
   readonly key: string;
   readonly value: Buffer;
-  /** Revision of its last change. */
+  /** Revision of the last change of the key. */
   readonly revision: Revision;
 }
 
-/** A change that a watch tells. */
+/** A change reported by a watch. */
 export interface StoreEvent {
   readonly key: string;
   readonly revision: Revision;
-  /** The new value, or `null` when the key is gone. */
+  /** The new value, or `null` if the key was deleted. */
   readonly value: Buffer | null;
 }
 
-/** What a watch answers: changes, or that the store no longer remembers them, or is in a later era. */
+/** Response of a watch: changes, or `compacted` if the store no longer has them or is in a later era. */
 export type WatchAnswer =
   | { readonly kind: 'events'; readonly events: readonly StoreEvent[]; readonly revision: Revision }
   | { readonly kind: 'compacted' };
 
-/** Whether an item still has a known revision, and the item where it has another; `null` when it is gone. */
+/** Result of a conditional read; `item` is `null` if the key is absent. */
 export type ConditionalRead =
   { readonly kind: 'unchanged' } | { readonly kind: 'changed'; readonly item: StoredItem | null };
 
-/** A change under conditions. */
+/** Changes that are applied together if all conditions hold. */
 export interface StoreTransaction {
-  /** Keys with the revision that each must have; {@link NO_REVISION}: absent. */
+  /** Keys with their expected revisions; `NO_REVISION` requires the key to be absent. */
   readonly conditions: readonly { readonly key: string; readonly revision: Revision }[];
   readonly puts: readonly { readonly key: string; readonly value: Buffer; readonly leaseId: number }[];
   readonly removes: readonly string[];
 }
 
-/** How a transaction ended. */
+/** Outcome of a transaction. */
 export type TransactionAnswer =
   | { readonly kind: 'done'; readonly revision: Revision }
   | { readonly kind: 'conflict' }
   | { readonly kind: 'no_lease' };
 
-/** A lease as granted. */
 export interface GrantedLease {
   readonly leaseId: number;
   readonly ttlMs: number;
 }
 
-/** The store did not answer as it should. */
+/** The store did not answer, or its answer was not valid. */
 export class StoreError extends Error {
   override readonly name = 'StoreError';
 
-  /** @param mayHaveRun - whether a change may have been made, or may still be made later */
+  /** @param mayHaveRun - whether the requested change may have been applied, or may still be applied later */
   constructor(
     message: string,
     readonly mayHaveRun: boolean,
@@ -66,26 +66,32 @@
 }
 
 /**
- * The store. Every method rejects with {@link StoreError} when it cannot answer, also when an answer comes from another era than the
- * one that its question was about.
+ * The store. Every method rejects with {@link StoreError} if the request fails, and also if the response
+ * belongs to another era than the request.
  */
 export interface CoordinationStore {
-  /** The era that its answers have told. */
+  /** The era reported by its responses. */
   readonly era: StoreEra;
-  /** All items under a prefix, read linearizably, and the revision to watch from. */
+  /** Linearizable read of all items under a prefix, with the revision to watch from. */
   list(prefix: string): Promise<{ readonly items: readonly StoredItem[]; readonly revision: Revision }>;
-  /** One item, read linearizably, or `null`; waits for the answer for at most `timeoutMs` milliseconds, where given. */
+  /**
+   * Linearizable read of one item, `null` if it is absent; fails after `timeoutMs` milliseconds, if given.
+   */
   read(key: string, timeoutMs?: number): Promise<StoredItem | null>;
   /**
-   * One item, read linearizably, unless it still has a known revision ({@link NO_REVISION}: is absent): a question that is put often about
-   * an item that is large and seldom changes. Waits for the answer for at most `timeoutMs` milliseconds.
+   * Linearizable read of one item that returns the value only if its revision differs from `knownRevision`
+   * (`NO_REVISION`: absent). For large items that are polled often and seldom change. Fails after `timeoutMs`
+   * milliseconds.
    */
   readIfChanged(key: string, knownRevision: Revision, timeoutMs: number): Promise<ConditionalRead>;
-  /** Changes under a prefix after a revision; waits for one for at most `waitMs` milliseconds. */
+  /**
+   * Changes under a prefix after a revision; if there are none, waits for one for at most `waitMs`
+   * milliseconds.
+   */
   watch(prefix: string, afterRevision: Revision, waitMs: number): Promise<WatchAnswer>;
   transact(transaction: StoreTransaction): Promise<TransactionAnswer>;
   grantLease(ttlMs: number): Promise<GrantedLease>;
-  /** False when the lease is over. */
+  /** Renews a lease; false if it has expired. */
   keepLease(leaseId: number): Promise<boolean>;
   endLease(leaseId: number): Promise<void>;
 }
--- a/src/coordination/revision.ts
+++ b/src/coordination/revision.ts
@@ -1,44 +1,41 @@
 /**
- * Points in the history of the store. Pure.
+ * Revisions of the store. Pure.
  *
- * A store that comes back from a copy gives its revisions out again: the same number may stand for another state. So a revision is
- * never compared by its number alone.
+ * A store that was restored from a backup assigns its revision numbers again, so the same number may denote
+ * another state. Revisions are therefore compared by era first, never by number alone.
  *
  * @packageDocumentation
  */
 
-/** A point in the history of the store. */
+/** A revision of the store. */
 export interface Revision {
-  /** See `StoreEra`. */
+  /** Era of the store, see `StoreEra`. */
   readonly era: number;
-  /** Counts the changes of an era, and those of earlier ones that were in the copy. */
+  /** Counts the changes of this era, and those of earlier eras that the backup contained. */
   readonly number: number;
 }
 
-/** Before everything that a store tells; also that of an absent key. */
+/** Earlier than any revision of a store; also stands for an absent key. */
 export const NO_REVISION: Revision = { era: 0, number: 0 };
 
-/** Below 0 if `left` comes before `right`, above 0 if it comes after it. */
+/** Negative if `left` is earlier than `right`, positive if it is later, 0 if both are equal. */
 export function compareRevisions(left: Revision, right: Revision): number {
   return left.era - right.era || left.number - right.number;
 }
 
-/** True if `left` comes after `right`. */
 export function isLater(left: Revision, right: Revision): boolean {
   return compareRevisions(left, right) > 0;
 }
 
-/** True if both are the same point. */
 export function isSameRevision(left: Revision, right: Revision): boolean {
   return compareRevisions(left, right) === 0;
 }
 
-/** The later one of two. */
 export function laterOf(left: Revision, right: Revision): Revision {
   return isLater(right, left) ? right : left;
 }
 
-/** As a log shows it. */
+/** Formats a revision for the log, as `era.number`. */
 export function formatRevision({ era, number }: Revision): string {
   return `${era}.${number}`;
 }
--- a/src/coordination/store-era.ts
+++ b/src/coordination/store-era.ts
@@ -1,29 +1,30 @@
 /**
- * The era of the store: it rises each time the store comes back from a copy. What was written since that copy is gone then, leases
- * too, and revisions are given out again.
+ * The era of the store, a number that increases each time the store is restored from a backup. A restore
+ * loses everything written since the backup, including leases, and the store assigns the lost revision
+ * numbers again.
  *
  * @packageDocumentation
  */
 
-/** Told that the store has come back from a copy. */
+/** Called after the store was restored from a backup. */
 export type EraListener = (era: number, before: number) => void;
 
-/** The highest era that any answer of the store has told. */
+/** The highest era reported by any response of the store. */
 export class StoreEra {
   #current: number | null = null;
   readonly #listeners: EraListener[] = [];
 
-  /** The era in which the store is, as far as this daemon knows; 0 before its first answer. */
+  /** The latest era known to this daemon; 0 before the first response of the store. */
   get current(): number {
     return this.#current ?? 0;
   }
 
-  /** Tells a listener of each later era; not of the first that is heard of. */
+  /** Registers a listener for each increase of the era. The first era observed is not an increase. */
   onRise(listener: EraListener): void {
     this.#listeners.push(listener);
   }
 
-  /** Takes the era of an answer, which may be an old one that comes late. */
+  /** Records the era of a response. Responses may arrive late and carry an earlier era, which is ignored. */
   hear(era: number): void {
     const before = this.#current;
     if (before !== null && era <= before) return;
