--- a/src/coordination/change-feed.test.ts
+++ b/src/coordination/change-feed.test.ts
@@ -8,8 +8,8 @@
 import fc from 'fast-check';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { DelegatedFeed } from './change-feed.js';
-import { ChangeLog, MAX_PASSED_BYTES } from './change-log.js';
-import { ChangeRelay, STALE_MS, type PassedChanges } from './change-relay.js';
+import { ChangeLog, MAX_RELAYED_BYTES } from './change-log.js';
+import { ChangeRelay, MAX_STORE_AGE_MS, type PassedChanges } from './change-relay.js';
 import {
   StoreError,
   type CoordinationStore,
@@ -59,7 +59,7 @@
   });
 
   test('is bounded in number and bytes, and never has a hole that it does not know of', () => {
-    const sizes = fc.array(fc.integer({ min: 0, max: MAX_PASSED_BYTES }), { minLength: 1, maxLength: 120 });
+    const sizes = fc.array(fc.integer({ min: 0, max: MAX_RELAYED_BYTES }), { minLength: 1, maxLength: 120 });
     fc.assert(
       fc.property(sizes, fc.nat(200), (bytes, after) => {
         const log = new ChangeLog();
@@ -93,7 +93,7 @@
     log.restart(at(0), 0);
     log.append(
       at(0),
-      [put('k', 1, Buffer.alloc(MAX_PASSED_BYTES + 1)), { key: 'g', revision: at(2), value: null }],
+      [put('k', 1, Buffer.alloc(MAX_RELAYED_BYTES + 1)), { key: 'g', revision: at(2), value: null }],
       at(2),
       0,
     );
@@ -126,7 +126,7 @@
     log.suspend();
     assert.equal((await waiting).kind, 'unavailable');
     log.restart(at(5), 0);
-    now = STALE_MS + 1;
+    now = MAX_STORE_AGE_MS + 1;
     assert.equal((await relay.ask(at(5), 1000)).kind, 'unavailable');
   });
 });
@@ -277,7 +277,7 @@
 
   test('does not rely on one that has not heard of the store for long', async () => {
     const { feed, answers } = rig();
-    answers.set('d1', changes(STALE_MS + 1, [put('a', 3)]));
+    answers.set('d1', changes(MAX_STORE_AGE_MS + 1, [put('a', 3)]));
     assert.equal((await feed.watch(at(0), 2500)).isPassedOn, false);
   });
 
@@ -288,7 +288,7 @@
   });
 
   test('reads large values from the store itself', async () => {
-    const large = Buffer.alloc(MAX_PASSED_BYTES + 1, 7);
+    const large = Buffer.alloc(MAX_RELAYED_BYTES + 1, 7);
     const { feed, answers } = rig((key) => Promise.resolve({ key, value: large, revision: at(4) }));
     answers.set('d1', changes(10, [put('big', 3, large)]));
     const answer = await feed.watch(at(0), 2500);
--- a/src/coordination/change-feed.ts
+++ b/src/coordination/change-feed.ts
@@ -8,22 +8,22 @@
  * @packageDocumentation
  */
 import type { DaemonRecord } from '../cluster/daemon-record.js';
-import { type PassedChanges, STALE_MS } from './change-relay.js';
-import type { PassedChange } from './change-log.js';
+import { type PassedChanges, MAX_STORE_AGE_MS } from './change-relay.js';
+import type { RelayedChange } from './change-log.js';
 import { isSameRevision, type Revision } from './revision.js';
 import { applyDelta } from './value-delta.js';
 import type { CoordinationStore, StoredItem, StoreEvent, WatchAnswer } from './coordination-store.js';
 
 /** Wait for a change at another daemon, and for its answer beyond that, in milliseconds. */
-const ASK_WAIT_MS = 700;
-const ASK_SLACK_MS = 300;
+const DELEGATE_WAIT_MS = 700;
+const DELEGATE_TIMEOUT_MARGIN_MS = 300;
 /** Longest wait of a watch by a daemon that others follow: bounds how old its word is, in milliseconds. */
-const DELEGATE_WATCH_MS = 1000;
+const DELEGATE_MAX_WATCH_MS = 1000;
 /** For how long a daemon that did not serve is left alone, in milliseconds. */
-const AVOID_MS = 3000;
+const DELEGATE_BACKOFF_MS = 3000;
 
 /** How much later a change may be heard of through another daemon than from the store, in milliseconds. */
-export const WORST_LAG_MS = STALE_MS + ASK_WAIT_MS + ASK_SLACK_MS;
+export const WORST_LAG_MS = MAX_STORE_AGE_MS + DELEGATE_WAIT_MS + DELEGATE_TIMEOUT_MARGIN_MS;
 
 /** What a change feed answers; `isPassedOn`: not by the store itself. */
 export type FeedAnswer = WatchAnswer & { readonly isPassedOn: boolean };
@@ -60,7 +60,7 @@
 
 /** Follows the store itself, or through another daemon. */
 export class DelegatedFeed implements ChangeFeed {
-  readonly #avoidUntilMs = new Map<string, number>();
+  readonly #backoffUntilMs = new Map<string, number>();
   /** The daemon that was asked last. */
   #source: string | null = null;
 
@@ -72,45 +72,49 @@
 
   async watch(afterRevision: Revision, waitMs: number): Promise<FeedAnswer> {
     const delegates = this.options.delegates();
-    const source = this.#choose(delegates);
-    this.#noteSource(source);
+    const source = this.#chooseSource(delegates);
+    this.#setSource(source);
     if (source !== null) {
-      const answer = await this.#askOther(source, afterRevision, Math.min(waitMs, ASK_WAIT_MS));
+      const answer = await this.#watchThrough(source, afterRevision, Math.min(waitMs, DELEGATE_WAIT_MS));
       if (answer !== null) return answer;
-      this.#avoidUntilMs.set(keyOf(source), this.options.now() + AVOID_MS);
+      this.#backoffUntilMs.set(processKey(source), this.options.now() + DELEGATE_BACKOFF_MS);
     }
     const isDelegate = delegates?.some(({ name }) => name === this.options.ownName) === true;
     const answer = await this.options.store.watch(
       '',
       afterRevision,
-      isDelegate ? Math.min(waitMs, DELEGATE_WATCH_MS) : waitMs,
+      isDelegate ? Math.min(waitMs, DELEGATE_MAX_WATCH_MS) : waitMs,
     );
     return { ...answer, isPassedOn: false };
   }
 
   /** The daemon to ask, or `null` when the store is to be asked itself. */
-  #choose(delegates: readonly DaemonRecord[] | null): DaemonRecord | null {
+  #chooseSource(delegates: readonly DaemonRecord[] | null): DaemonRecord | null {
     const { options } = this;
     if (delegates === null || options.mustBeDirect()) return null;
     if (delegates.some(({ name }) => name === options.ownName)) return null;
     const now = options.now();
     const usable = delegates.filter(
-      (record) => record.zone === options.zone && now >= (this.#avoidUntilMs.get(keyOf(record)) ?? 0),
+      (record) => record.zone === options.zone && now >= (this.#backoffUntilMs.get(processKey(record)) ?? 0),
     );
-    const present = usable.find((record) => keyOf(record) === this.#source);
-    return present ?? usable[Math.floor(options.random() * usable.length)] ?? null;
+    const current = usable.find((record) => processKey(record) === this.#source);
+    return current ?? usable[Math.floor(options.random() * usable.length)] ?? null;
   }
 
-  #noteSource(source: DaemonRecord | null): void {
-    const key = source === null ? null : keyOf(source);
+  #setSource(source: DaemonRecord | null): void {
+    const key = source === null ? null : processKey(source);
     if (key === this.#source) return;
     this.#source = key;
     this.options.log('changes_from', { source: source === null ? 'store' : source.name });
   }
 
   /** What another daemon tells, or `null` when it cannot serve. */
-  async #askOther(source: DaemonRecord, afterRevision: Revision, waitMs: number): Promise<FeedAnswer | null> {
-    const answer = await this.options.ask(source, afterRevision, waitMs, waitMs + ASK_SLACK_MS);
+  async #watchThrough(
+    source: DaemonRecord,
+    afterRevision: Revision,
+    waitMs: number,
+  ): Promise<FeedAnswer | null> {
+    const answer = await this.options.ask(source, afterRevision, waitMs, waitMs + DELEGATE_TIMEOUT_MARGIN_MS);
     if (answer === null) return null;
     switch (answer.kind) {
       case 'unavailable':
@@ -118,7 +122,7 @@
       case 'forgotten':
         return { kind: 'compacted', isPassedOn: true };
       case 'changes': {
-        if (answer.ageMs > STALE_MS) return null;
+        if (answer.ageMs > MAX_STORE_AGE_MS) return null;
         const events = await this.#toEvents(answer.changes, answer.revision.era);
         return { kind: 'events', events, revision: answer.revision, isPassedOn: true };
       }
@@ -126,7 +130,7 @@
   }
 
   /** In order: a change may be told as the difference to the one before it. */
-  async #toEvents(changes: readonly PassedChange[], era: number): Promise<readonly StoreEvent[]> {
+  async #toEvents(changes: readonly RelayedChange[], era: number): Promise<readonly StoreEvent[]> {
     const events: StoreEvent[] = [];
     const latest = new Map<string, StoreEvent>();
     for (const change of changes) {
@@ -138,9 +142,9 @@
   }
 
   async #toEvent(
-    { key, number, content }: PassedChange,
+    { key, number, content }: RelayedChange,
     era: number,
-    before: StoreEvent | null,
+    previous: StoreEvent | null,
   ): Promise<StoreEvent> {
     const revision = { era, number };
     switch (content.kind) {
@@ -151,25 +155,25 @@
       case 'delta': {
         const { baseNumber, delta } = content;
         if (
-          before === null ||
-          before.value === null ||
-          !isSameRevision(before.revision, { era, number: baseNumber })
+          previous === null ||
+          previous.value === null ||
+          !isSameRevision(previous.revision, { era, number: baseNumber })
         )
-          return this.#read(key, revision);
-        return { key, revision, value: applyDelta(before.value, delta) };
+          return this.#readFromStore(key, revision);
+        return { key, revision, value: applyDelta(previous.value, delta) };
       }
       case 'large':
-        return this.#read(key, revision);
+        return this.#readFromStore(key, revision);
     }
   }
 
   /** The newest value, from the store. */
-  async #read(key: string, revision: Revision): Promise<StoreEvent> {
+  async #readFromStore(key: string, revision: Revision): Promise<StoreEvent> {
     const item = await this.options.store.read(key);
     return item ?? { key, revision, value: null };
   }
 }
 
-function keyOf(record: DaemonRecord): string {
+function processKey(record: DaemonRecord): string {
   return `${record.name} ${record.life}`;
 }
--- a/src/coordination/change-log.ts
+++ b/src/coordination/change-log.ts
@@ -6,7 +6,7 @@
 import { ChangeSignal } from '../common/signal.js';
 import type { StoredItem, StoreEvent } from './coordination-store.js';
 import { isLater, laterOf, NO_REVISION, type Revision } from './revision.js';
-import { diffValues, sizeOfDelta, type ValueDelta } from './value-delta.js';
+import { diffValues, estimateDeltaBytes, type ValueDelta } from './value-delta.js';
 
 /** Most changes that are kept, and bytes of their values; who asks for older ones reads the store. */
 const MAX_CHANGES = 2000;
@@ -16,13 +16,13 @@
  * Largest value that is passed on, in bytes. Links of daemons are narrow: who needs a larger value reads it from the store,
  * whose link is not.
  */
-export const MAX_PASSED_BYTES = 32 * 1024;
+export const MAX_RELAYED_BYTES = 32 * 1024;
 
 /** Values up to this length are passed on whole, in bytes. */
-const WHOLE_BYTES = 1024;
+const DELTA_THRESHOLD_BYTES = 1024;
 
 /** The value of a change as it is passed on. */
-export type PassedValue =
+export type RelayedValue =
   | { readonly kind: 'value'; readonly value: Buffer }
   /** The difference to the value that the key had at a revision of the same era. */
   | { readonly kind: 'delta'; readonly baseNumber: number; readonly delta: ValueDelta }
@@ -31,25 +31,25 @@
   | { readonly kind: 'large' };
 
 /** A change as it is kept; its difference to the value before is found when somebody asks for it. */
-interface KeptChange {
+interface LoggedChange {
   readonly event: StoreEvent;
-  readonly before: StoredItem | null;
-  passed: PassedChange | null;
+  readonly previous: StoredItem | null;
+  relayed: RelayedChange | null;
 }
 
 /** A change as it is passed on, with all others of its era. */
-export interface PassedChange {
+export interface RelayedChange {
   readonly key: string;
   /** Number of its revision. */
   readonly number: number;
-  readonly content: PassedValue;
+  readonly content: RelayedValue;
 }
 
 /** What the store itself has told of late. */
 export class ChangeLog {
   /** Wakes whoever waits for a change, or for the end of the log. */
   readonly changed = new ChangeSignal();
-  #changes: KeptChange[] = [];
+  #changes: LoggedChange[] = [];
   #bytes = 0;
   /** All changes after this revision are kept; `null` while the copy does not come from the store itself. */
   #completeAfter: Revision | null = null;
@@ -77,18 +77,18 @@
   /**
    * The store has told its changes after `afterRevision`, up to `revision`.
    *
-   * @param itemsBefore - the items that the changes replace, in the same order; `null` where there was none
+   * @param previousItems - the items that the changes replace, in the same order; `null` where there was none
    */
   append(
     afterRevision: Revision,
     events: readonly StoreEvent[],
     revision: Revision,
     nowMs: number,
-    itemsBefore: readonly (StoredItem | null)[] = [],
+    previousItems: readonly (StoredItem | null)[] = [],
   ): void {
     if (this.#completeAfter === null) this.#clear(afterRevision);
     for (const [index, event] of events.entries())
-      this.#keep({ event, before: itemsBefore[index] ?? null, passed: null });
+      this.#push({ event, previous: previousItems[index] ?? null, relayed: null });
     this.#revision = laterOf(this.#revision, revision);
     this.#confirmedAtMs = nowMs;
     if (events.length > 0) this.changed.notify();
@@ -100,7 +100,7 @@
     this.#completeAfter = completeAfter;
   }
 
-  #keep(change: KeptChange): void {
+  #push(change: LoggedChange): void {
     this.#changes.push(change);
     this.#bytes += sizeOf(change);
     while (this.#changes.length > MAX_CHANGES || this.#bytes > MAX_BYTES) {
@@ -119,34 +119,34 @@
   }
 
   /** The changes after a revision, or `null` when some of them are not kept, as those between two eras never are. */
-  since(revision: Revision): readonly PassedChange[] | null {
+  since(revision: Revision): readonly RelayedChange[] | null {
     if (this.#completeAfter === null || isLater(this.#completeAfter, revision)) return null;
     return this.#changes
       .filter(({ event }) => isLater(event.revision, revision))
-      .map((change) => (change.passed ??= toPassed(change)));
+      .map((change) => (change.relayed ??= toRelayed(change)));
   }
 }
 
-function sizeOf({ event }: KeptChange): number {
+function sizeOf({ event }: LoggedChange): number {
   return event.value?.length ?? 0;
 }
 
-function toPassed({ event, before }: KeptChange): PassedChange {
+function toRelayed({ event, previous: before }: LoggedChange): RelayedChange {
   const { key, revision, value } = event;
   const base = before?.revision.era === revision.era ? before : null;
   return {
     key,
     number: revision.number,
-    content: value === null ? { kind: 'gone' } : passValue(value, base),
+    content: value === null ? { kind: 'gone' } : encodeValue(value, base),
   };
 }
 
-function passValue(value: Buffer, before: StoredItem | null): PassedValue {
-  if (value.length <= WHOLE_BYTES) return { kind: 'value', value };
-  if (before !== null) {
-    const delta = diffValues(before.value, value);
-    const isShort = sizeOfDelta(delta) <= Math.min(value.length / 2, MAX_PASSED_BYTES);
-    if (isShort) return { kind: 'delta', baseNumber: before.revision.number, delta };
+function encodeValue(value: Buffer, previous: StoredItem | null): RelayedValue {
+  if (value.length <= DELTA_THRESHOLD_BYTES) return { kind: 'value', value };
+  if (previous !== null) {
+    const delta = diffValues(previous.value, value);
+    const isSmaller = estimateDeltaBytes(delta) <= Math.min(value.length / 2, MAX_RELAYED_BYTES);
+    if (isSmaller) return { kind: 'delta', baseNumber: previous.revision.number, delta };
   }
-  return value.length <= MAX_PASSED_BYTES ? { kind: 'value', value } : { kind: 'large' };
+  return value.length <= MAX_RELAYED_BYTES ? { kind: 'value', value } : { kind: 'large' };
 }
--- a/src/coordination/change-relay.ts
+++ b/src/coordination/change-relay.ts
@@ -3,7 +3,7 @@
  *
  * @packageDocumentation
  */
-import type { ChangeLog, PassedChange } from './change-log.js';
+import type { ChangeLog, RelayedChange } from './change-log.js';
 import type { Revision } from './revision.js';
 
 /**
@@ -13,7 +13,7 @@
 export type PassedChanges =
   | {
       readonly kind: 'changes';
-      readonly changes: readonly PassedChange[];
+      readonly changes: readonly RelayedChange[];
       readonly revision: Revision;
       /** Time since the store answered this daemon, in milliseconds. */
       readonly ageMs: number;
@@ -22,9 +22,9 @@
   | { readonly kind: 'unavailable' };
 
 /** Age of the store's last answer from which on nothing is passed on, in milliseconds. */
-export const STALE_MS = 1500;
+export const MAX_STORE_AGE_MS = 1500;
 /** Longest wait for a change, in milliseconds. */
-const LONGEST_WAIT_MS = 2000;
+const MAX_WAIT_MS = 2000;
 
 /** Passes on what the store has told. */
 export class ChangeRelay {
@@ -37,13 +37,13 @@
   async ask(afterRevision: Revision, waitMs: number): Promise<PassedChanges> {
     const known = this.#answer(afterRevision);
     if (known.kind !== 'changes' || known.changes.length > 0) return known;
-    await this.log.changed.wait(Math.min(waitMs, LONGEST_WAIT_MS));
+    await this.log.changed.wait(Math.min(waitMs, MAX_WAIT_MS));
     return this.#answer(afterRevision);
   }
 
   #answer(afterRevision: Revision): PassedChanges {
     const ageMs = this.log.ageMs(this.now());
-    if (ageMs > STALE_MS) return { kind: 'unavailable' };
+    if (ageMs > MAX_STORE_AGE_MS) return { kind: 'unavailable' };
     // Whoever asks knows of a later era: what is kept here says nothing of it.
     if (afterRevision.era > this.log.revision.era) return { kind: 'unavailable' };
     const changes = this.log.since(afterRevision);
--- a/src/coordination/coordination.test.ts
+++ b/src/coordination/coordination.test.ts
@@ -8,7 +8,7 @@
 import { MemoryStore, settle } from '../../test/support/memory-store.js';
 import type { CoordinationStore, StoredItem } from './coordination-store.js';
 import { DUTY_LEASE, TAKEOVER_WAIT_MS } from './duty-record.js';
-import { Duty, type StoreCopy } from './duty.js';
+import { Duty, type LocalCopy } from './duty.js';
 import { SeenStore } from '../../test/support/seen-store.js';
 import { at } from '../../test/support/revisions.js';
 
@@ -18,7 +18,7 @@
 }
 
 function holder(
-  store: CoordinationStore & StoreCopy,
+  store: CoordinationStore & LocalCopy,
   name: string,
   clock: { now: number },
   isEnded = false,
--- a/src/coordination/daemon-register.ts
+++ b/src/coordination/daemon-register.ts
@@ -32,10 +32,10 @@
   const unreadable = new Set<string>();
   for (const item of items.values()) {
     if (item.key.startsWith(LIVE_PREFIX)) {
-      const name = accept('lease', item, readName(item.key, LIVE_PREFIX), faults);
+      const name = valueOrReport('lease', item, readName(item.key, LIVE_PREFIX), faults);
       if (name !== null) leased.add(name);
     } else if (item.key.startsWith(DAEMON_PREFIX)) {
-      const record = accept('registration', item, readRegistration(item), faults);
+      const record = valueOrReport('registration', item, readRegistration(item), faults);
       if (record === null) unreadable.add(item.key.slice(DAEMON_PREFIX.length));
       else registered.set(record.name, record);
     }
@@ -44,20 +44,20 @@
 }
 
 /** What was read before: the records of all daemons are looked at with each change of any. */
-const registrations = new WeakMap<StoredItem, Reading<DaemonRecord>>();
+const parsedRegistrations = new WeakMap<StoredItem, Reading<DaemonRecord>>();
 
 /** Reads the record of a daemon, once for each item. */
 export function readRegistration(item: StoredItem): Reading<DaemonRecord> {
-  const known = registrations.get(item);
-  if (known !== undefined) return known;
+  const cached = parsedRegistrations.get(item);
+  if (cached !== undefined) return cached;
   const name = readName(item.key, DAEMON_PREFIX);
   const reading = name.kind === 'read' ? readDaemonRecord(name.value, item.value) : name;
-  registrations.set(item, reading);
+  parsedRegistrations.set(item, reading);
   return reading;
 }
 
 /** What was read, or `null` where the entry is left out. */
-export function accept<T>(
+export function valueOrReport<T>(
   kind: EntryKind,
   item: StoredItem,
   reading: Reading<T>,
--- a/src/coordination/duty-record.ts
+++ b/src/coordination/duty-record.ts
@@ -27,7 +27,7 @@
 const MAX_FENCE_DIGITS = 16;
 
 /** Era of the store in which the record was written: one of an earlier era came back with a copy, and says nothing of the present. */
-const eraField = z._default(count, 0);
+const eraSchema = z._default(count, 0);
 
 const heldSchema = z.object({
   state: z.literal('held'),
@@ -38,14 +38,14 @@
   leaseId: count,
   /** Time from the writing until the holder may act, in milliseconds: an earlier one may still do so. */
   actsInMs: amount,
-  era: eraField,
+  era: eraSchema,
 });
 const releasedSchema = z.object({
   state: z.literal('released'),
   fence: count,
   /** Time from the writing until another may act, in milliseconds: whoever let go may not have acted yet itself. */
   actsInMs: z._default(amount, 0),
-  era: eraField,
+  era: eraSchema,
 });
 const recordSchema = z.discriminatedUnion('state', [heldSchema, releasedSchema]);
 
@@ -71,7 +71,7 @@
 const FENCES_PER_ERA = 1_000_000;
 
 /** Below all fences of an era, and above those of the eras before it. */
-function firstFenceOf(era: number): number {
+function baseFenceOf(era: number): number {
   return era * FENCES_PER_ERA;
 }
 
@@ -85,10 +85,10 @@
  * @param era - the era of the store
  */
 export function nextFence(item: StoredItem | null, record: DutyRecord | null, era: number): number {
-  const first = firstFenceOf(era);
-  const told = item === null ? null : readFence(item.value);
-  const last = told?.kind === 'read' ? told.value : first + (item?.revision.number ?? 0);
-  return Math.max(first, last, record?.fence ?? 0) + 1;
+  const base = baseFenceOf(era);
+  const stored = item === null ? null : readFence(item.value);
+  const last = stored?.kind === 'read' ? stored.value : base + (item?.revision.number ?? 0);
+  return Math.max(base, last, record?.fence ?? 0) + 1;
 }
 
 /** Writes a record. */
@@ -147,11 +147,11 @@
   }
 
   /** Takes what the store has now. */
-  observe(sight: DutySight, nowMs: number): void {
-    if (this.#era !== sight.era) this.#beginEra(sight, nowMs);
-    const record = presentRecord(sight);
-    const isNextFence = sight.fence !== this.#fence;
-    this.#fence = sight.fence;
+  observe(observation: DutySight, nowMs: number): void {
+    if (this.#era !== observation.era) this.#beginEra(observation, nowMs);
+    const record = presentRecord(observation);
+    const isNextFence = observation.fence !== this.#fence;
+    this.#fence = observation.fence;
     if (record === null) {
       // Gone without a word: the holder may still act. One whose record has come and gone between two looks has left its fence.
       if (isNextFence) this.#holder = null;
@@ -159,8 +159,8 @@
       this.#revision = NO_REVISION;
       return;
     }
-    if (isSameRevision(sight.revision, this.#revision)) return;
-    this.#revision = sight.revision;
+    if (isSameRevision(observation.revision, this.#revision)) return;
+    this.#revision = observation.revision;
     this.#vanishedAtMs = Number.NEGATIVE_INFINITY;
     this.#holder = record.state === 'held' ? { name: record.holder, life: record.life } : null;
     this.#holderActsFromMs = nowMs + record.actsInMs;
@@ -170,15 +170,15 @@
    * The first look at an era. Unless a record of it stands, somebody may still act: the last holder of the era before, whose record
    * the copy may lack, or one that was never seen here.
    */
-  #beginEra(sight: DutySight, nowMs: number): void {
-    const wasNeverHeld = this.#era === null && sight.record === null && sight.fence === 0;
-    this.#era = sight.era;
-    this.#fence = sight.fence;
+  #beginEra(observation: DutySight, nowMs: number): void {
+    const wasNeverHeld = this.#era === null && observation.record === null && observation.fence === 0;
+    this.#era = observation.era;
+    this.#fence = observation.fence;
     this.#revision = NO_REVISION;
     this.#holder = null;
     this.#holderActsFromMs = Number.NEGATIVE_INFINITY;
     this.#vanishedAtMs = wasNeverHeld ? Number.NEGATIVE_INFINITY : nowMs;
-    const wasHeldInIt = sight.fence !== null && sight.fence > firstFenceOf(sight.era);
+    const wasHeldInIt = observation.fence !== null && observation.fence > baseFenceOf(observation.era);
     const isNew = !wasNeverHeld && !wasHeldInIt;
     this.#newEraSeenAtMs = isNew ? nowMs : Number.NEGATIVE_INFINITY;
   }
--- a/src/coordination/duty.ts
+++ b/src/coordination/duty.ts
@@ -25,7 +25,7 @@
   type DutyRecord,
 } from './duty-record.js';
 import {
-  accept,
+  valueOrReport,
   COORDINATION_PREFIX,
   DAEMON_PREFIX,
   LIVE_PREFIX,
@@ -44,28 +44,28 @@
  * Times of the lease under which a daemon is said to live. Whoever meets a daemon that is gone finds out by itself, so the
  * lease need not be short; each renewal is priced, and there is one for each daemon.
  */
-const LIFE_LEASE: LeaseTimes = { lengthMs: 6000, safetyMs: 250, renewalMs: 2000 };
+const LIVENESS_LEASE: LeaseTimes = { lengthMs: 6000, safetyMs: 250, renewalMs: 2000 };
 /**
  * Time between attempts to keep the lease while the store does not answer, in milliseconds: doubled from the first to the
  * second with each failure in a row, and over once the store is heard of again. A daemon that was never registered keeps to
  * the first.
  */
-const RETRY_MS = 200;
-const LAST_RETRY_MS = 2000;
+const MIN_RETRY_MS = 200;
+const MAX_RETRY_MS = 2000;
 /** Least time between two attempts to keep the lease, in milliseconds. */
-const LEAST_REST_MS = 200;
+const MIN_RENEWAL_GAP_MS = 200;
 /** Longest wait for the sight of the duty's record, in milliseconds: an answer that is lost must not use up the lease. */
-const CONFIRM_MS = 400;
+const CONFIRM_TIMEOUT_MS = 400;
 /**
  * Time from the first sight of a new era of the store until all daemons that reach it have registered again, in milliseconds: a renewal
  * and its longest spread, the longest pause before the next attempt, and the two calls.
  */
-const REGISTERED_AGAIN_MS = 5000;
+const REREGISTRATION_MS = 5000;
 /** Time between attempts of the holder of the duty, in milliseconds. */
-const HOLDER_RETRY_MS = 60;
+const DUTY_RENEWAL_RETRY_MS = 60;
 
 /** A copy of the store, which may be behind. */
-export interface StoreCopy {
+export interface LocalCopy {
   readonly items: ReadonlyMap<string, StoredItem>;
   /** Revision as of which the copy is. */
   readonly revision: Revision;
@@ -81,14 +81,14 @@
 
 /** Keeps this daemon's lease, its record and, where it is free, the duty. */
 export class Duty {
-  readonly #life: StoreLease;
-  readonly #lease: StoreLease;
+  readonly #livenessLease: StoreLease;
+  readonly #dutyLease: StoreLease;
   #isRegistered = false;
   #fence: number | null = null;
   /** Time from which this holder may act: no earlier one does any more. */
   #actsFromMs = 0;
   /** Until when the record as last written counts, by this daemon's clock. */
-  #dutyUntilMs = Number.NEGATIVE_INFINITY;
+  #recordTrustedUntilMs = Number.NEGATIVE_INFINITY;
   #dutyRevision = NO_REVISION;
   /** Revision of this daemon's last change: an older copy of the store says nothing of what it has. */
   #ownRevision = NO_REVISION;
@@ -99,30 +99,30 @@
   readonly #history = new DutyHistory();
   #isStopped = false;
   #isAcquiring = false;
-  #awaitsTurn = false;
+  #isAcquisitionDelayed = false;
   /** Told when the record of this daemon's lease is gone, or the store answers again. */
-  readonly #keepSoon = new ChangeSignal();
-  #mustKeepSoon = false;
+  readonly #renewalRequest = new ChangeSignal();
+  #isRenewalRequested = false;
   /** The lease asked for before the store was read, while nobody has used it. */
-  #granting: Promise<void> | null = null;
+  #pendingGrant: Promise<void> | null = null;
 
   constructor(
     private readonly store: CoordinationStore,
     private readonly self: DaemonRecord,
-    private readonly copy: () => StoreCopy,
+    private readonly localCopy: () => LocalCopy,
     private readonly listener: DutyListener,
     /** Whether the process of a former holder has certainly ended. */
     private readonly isEnded: (holder: DutyHolder) => Promise<boolean>,
     private readonly now: () => number,
     private readonly random: () => number,
     /** How long this daemon leaves a free duty to others before it asks for it, in milliseconds. */
-    private readonly turnMs: () => number = () => 0,
+    private readonly acquisitionDelayMs: () => number = () => 0,
     /** Told of records that cannot be read. */
     private readonly faults = untoldFaults(),
   ) {
-    this.#life = new StoreLease(store, LIFE_LEASE, now);
-    this.#lease = new StoreLease(store, DUTY_LEASE, now);
-    store.era.onRise(() => this.#eraHasRisen());
+    this.#livenessLease = new StoreLease(store, LIVENESS_LEASE, now);
+    this.#dutyLease = new StoreLease(store, DUTY_LEASE, now);
+    store.era.onRise(() => this.#onEraIncrease());
   }
 
   /**
@@ -149,95 +149,98 @@
    * register again.
    */
   get isRegisterBehind(): boolean {
-    return this.#history.sinceNewEraMs(this.now()) < REGISTERED_AGAIN_MS;
+    return this.#history.sinceNewEraMs(this.now()) < REREGISTRATION_MS;
   }
 
   /** Asks for a lease, so that it is there when {@link Duty.run} registers. */
   prepare(): void {
-    this.#granting = this.#life.grant().catch(() => undefined);
+    this.#pendingGrant = this.#livenessLease.grant().catch(() => undefined);
   }
 
   /** Keeps the lease until {@link Duty.stop}. */
   async run(): Promise<void> {
     let failures = 0;
     while (!this.#isStopped) {
-      const isKept = await this.#keep();
-      failures = isKept ? 0 : failures + 1;
-      if (isKept && !this.#isStopped) void this.#acquireInTurn();
-      const pauseMs = isKept ? this.#life.times.renewalMs : this.#retryMs(failures);
-      await this.#rest(pauseMs * (0.9 + this.random() * 0.2));
+      const isRegistered = await this.#renewRegistration();
+      failures = isRegistered ? 0 : failures + 1;
+      if (isRegistered && !this.#isStopped) void this.#acquireAfterDelay();
+      const pauseMs = isRegistered ? this.#livenessLease.times.renewalMs : this.#backoffMs(failures);
+      await this.#waitForNextRenewal(pauseMs * (0.9 + this.random() * 0.2));
     }
   }
 
   /** The store answers again: the lease may have run out. */
   storeRegained(): void {
-    this.#askToKeepSoon();
+    this.#requestRenewal();
   }
 
   /** Waits for the next attempt, or less when there is a reason to make it soon. */
-  async #rest(ms: number): Promise<void> {
-    await delay(Math.min(ms, LEAST_REST_MS));
-    if (!this.#mustKeepSoon && ms > LEAST_REST_MS) await this.#keepSoon.wait(ms - LEAST_REST_MS);
-    this.#mustKeepSoon = false;
+  async #waitForNextRenewal(ms: number): Promise<void> {
+    await delay(Math.min(ms, MIN_RENEWAL_GAP_MS));
+    if (!this.#isRenewalRequested && ms > MIN_RENEWAL_GAP_MS)
+      await this.#renewalRequest.wait(ms - MIN_RENEWAL_GAP_MS);
+    this.#isRenewalRequested = false;
   }
 
-  #askToKeepSoon(): void {
-    this.#mustKeepSoon = true;
-    this.#keepSoon.notify();
+  #requestRenewal(): void {
+    this.#isRenewalRequested = true;
+    this.#renewalRequest.notify();
   }
 
-  #retryMs(failures: number): number {
-    if (isSameRevision(this.#ownRevision, NO_REVISION)) return RETRY_MS;
-    return Math.min(LAST_RETRY_MS, RETRY_MS * 2 ** Math.min(failures - 1, 8));
+  #backoffMs(failures: number): number {
+    if (isSameRevision(this.#ownRevision, NO_REVISION)) return MIN_RETRY_MS;
+    return Math.min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** Math.min(failures - 1, 8));
   }
 
   /** Takes what the copy shows of the duty, before anything is decided by it. */
   look(): void {
-    if (this.#isCopyOfThisEra()) this.#history.observe(this.#sight(), this.now());
+    if (this.#isCopyOfCurrentEra()) this.#history.observe(this.#observeCopy(), this.now());
   }
 
   /** The coordination keys have changed. */
   async keysChanged(): Promise<void> {
-    if (!this.#isCopyOfThisEra()) return;
+    if (!this.#isCopyOfCurrentEra()) return;
     this.look();
-    const { items, revision } = this.copy();
-    const sight = this.#sight();
+    const { items, revision } = this.localCopy();
+    const observation = this.#observeCopy();
     if (isLater(this.#ownRevision, revision)) return;
-    const record = presentRecord(sight);
-    if (record !== null && this.#isOurs(record)) this.#take(record.fence, sight.revision);
-    else this.#lose(record?.state === 'held' ? `held by ${record.holder}` : 'the record is gone');
-    if (!items.has(LIVE_PREFIX + this.self.name) || this.#isRecordSpoilt()) {
+    const record = presentRecord(observation);
+    if (record !== null && this.#isOurs(record)) this.#becomeHolder(record.fence, observation.revision);
+    else this.#loseDuty(record?.state === 'held' ? `held by ${record.holder}` : 'the record is gone');
+    if (!items.has(LIVE_PREFIX + this.self.name) || this.#isRegistrationUnreadable()) {
       this.#isRegistered = false;
-      this.#askToKeepSoon();
+      this.#requestRenewal();
     }
-    if (record?.state !== 'held' && this.#isRegistered) await this.#acquireInTurn();
+    if (record?.state !== 'held' && this.#isRegistered) await this.#acquireAfterDelay();
   }
 
   /** Gives up the duty and the record. */
   async stop(): Promise<void> {
     this.#isStopped = true;
     const fence = this.#fence;
-    this.#lose('stopping');
+    this.#loseDuty('stopping');
     if (fence !== null) await this.#release(fence).catch(() => undefined);
-    await Promise.all([this.#lease, this.#life].map((lease) => lease.end().catch(() => undefined)));
+    await Promise.all(
+      [this.#dutyLease, this.#livenessLease].map((lease) => lease.revoke().catch(() => undefined)),
+    );
   }
 
   /** Keeps the lease of the duty, and looks at its record, while it is held with a fence. */
-  async #hold(fence: number): Promise<void> {
-    let isKept = true;
+  async #renewWhileHeld(fence: number): Promise<void> {
+    let isStoreAnswering = true;
     for (;;) {
-      await delay(isKept ? DUTY_LEASE.renewalMs : HOLDER_RETRY_MS);
+      await delay(isStoreAnswering ? DUTY_LEASE.renewalMs : DUTY_RENEWAL_RETRY_MS);
       if (this.#fence !== fence || this.#isStopped) return;
-      if (this.now() >= this.#untilMs) return this.#lose('the lease may have lapsed');
-      isKept = await this.#renew();
+      if (this.now() >= this.#untilMs) return this.#loseDuty('the lease may have lapsed');
+      isStoreAnswering = await this.#renewDutyLease();
     }
   }
 
   /** False when the store did not answer. */
-  async #renew(): Promise<boolean> {
+  async #renewDutyLease(): Promise<boolean> {
     try {
-      if (await this.#lease.keep()) await this.#confirm();
-      else this.#lose('the lease is over');
+      if (await this.#dutyLease.renew()) await this.#confirmRecord();
+      else this.#loseDuty('the lease is over');
       return true;
     } catch (error) {
       if (!(error instanceof StoreError)) throw error;
@@ -245,16 +248,16 @@
     }
   }
 
-  async #keep(): Promise<boolean> {
+  async #renewRegistration(): Promise<boolean> {
     try {
-      if (this.#granting !== null) {
-        await this.#granting;
-        this.#granting = null;
-        if (this.#life.isHeld) return await this.#register();
+      if (this.#pendingGrant !== null) {
+        await this.#pendingGrant;
+        this.#pendingGrant = null;
+        if (this.#livenessLease.isHeld) return await this.#register();
       }
-      if (await this.#life.keep()) return this.#isRegistered || (await this.#register());
+      if (await this.#livenessLease.renew()) return this.#isRegistered || (await this.#register());
       this.#isRegistered = false;
-      await this.#life.grant();
+      await this.#livenessLease.grant();
       return await this.#register();
     } catch (error) {
       if (!(error instanceof StoreError)) throw error;
@@ -264,11 +267,11 @@
 
   async #register(): Promise<boolean> {
     // Its number may be another's by now.
-    if (!this.#life.isHeld) return false;
+    if (!this.#livenessLease.isHeld) return false;
     const { name, life } = this.self;
     const puts = [
       { key: DAEMON_PREFIX + name, value: Buffer.from(JSON.stringify(this.self)), leaseId: 0 },
-      { key: LIVE_PREFIX + name, value: Buffer.from(life), leaseId: this.#life.id },
+      { key: LIVE_PREFIX + name, value: Buffer.from(life), leaseId: this.#livenessLease.id },
     ];
     const answer = await this.store.transact({ conditions: [], puts, removes: [] });
     this.#isRegistered = answer.kind === 'done';
@@ -280,13 +283,13 @@
   }
 
   /** Asks for the duty when it is this daemon's turn: whoever asks makes two calls of the store, and one is enough. */
-  async #acquireInTurn(): Promise<void> {
-    if (this.#awaitsTurn || !this.#mayAcquire()) return;
-    const turnMs = this.turnMs();
-    if (turnMs > 0) {
-      this.#awaitsTurn = true;
-      await delay(turnMs);
-      this.#awaitsTurn = false;
+  async #acquireAfterDelay(): Promise<void> {
+    if (this.#isAcquisitionDelayed || !this.#mayAcquire()) return;
+    const delayMs = this.acquisitionDelayMs();
+    if (delayMs > 0) {
+      this.#isAcquisitionDelayed = true;
+      await delay(delayMs);
+      this.#isAcquisitionDelayed = false;
     }
     await this.#acquire();
   }
@@ -294,13 +297,13 @@
   /** Takes the duty if nobody holds it, or if an earlier life of this very daemon did. */
   async #acquire(): Promise<void> {
     if (this.#isAcquiring || !this.#mayAcquire()) return;
-    const sight = this.#sight();
-    const record = presentRecord(sight);
+    const observation = this.#observeCopy();
+    const record = presentRecord(observation);
     const endedLife = record?.state === 'held' ? record.life : this.self.life;
     this.#freeFromMs = this.#history.freeFromMs(endedLife);
     this.#isAcquiring = true;
     try {
-      await this.#tryAcquire(sight);
+      await this.#tryAcquire(observation);
     } catch (error) {
       if (!(error instanceof StoreError)) throw error;
     } finally {
@@ -311,21 +314,21 @@
   /** True when this daemon does not hold the duty and, as far as it knows, nobody else does. */
   #mayAcquire(): boolean {
     if (this.#isStopped || this.#fence !== null || !this.#isRegistered) return false;
-    if (!this.#isCopyOfThisEra()) return false;
-    const record = presentRecord(this.#sight());
+    if (!this.#isCopyOfCurrentEra()) return false;
+    const record = presentRecord(this.#observeCopy());
     return record?.state !== 'held' || record.holder === this.self.name;
   }
 
-  async #tryAcquire(sight: DutySight): Promise<void> {
-    await this.#lease.grant();
-    const leaseId = this.#lease.id;
+  async #tryAcquire(observation: DutySight): Promise<void> {
+    await this.#dutyLease.grant();
+    const leaseId = this.#dutyLease.id;
     this.#askedAtMs = this.now();
-    if (!this.#isCopyOfThisEra() || !this.#lease.isHeld) return;
-    const fenceItem = this.copy().items.get(FENCE_KEY) ?? null;
-    const fence = nextFence(fenceItem, sight.record, this.#era);
+    if (!this.#isCopyOfCurrentEra() || !this.#dutyLease.isHeld) return;
+    const fenceItem = this.localCopy().items.get(FENCE_KEY) ?? null;
+    const fence = nextFence(fenceItem, observation.record, this.#era);
     const answer = await this.store.transact({
       conditions: [
-        { key: DUTY_KEY, revision: sight.revision },
+        { key: DUTY_KEY, revision: observation.revision },
         { key: FENCE_KEY, revision: fenceItem?.revision ?? NO_REVISION },
       ],
       puts: [
@@ -334,22 +337,23 @@
       ],
       removes: [],
     });
-    if (answer.kind !== 'done') this.#lease.drop();
-    if (answer.kind !== 'done' || leaseId !== this.#lease.id || !this.#lease.isHeld) return;
-    this.#take(fence, answer.revision);
+    if (answer.kind !== 'done') this.#dutyLease.forget();
+    if (answer.kind !== 'done' || leaseId !== this.#dutyLease.id || !this.#dutyLease.isHeld) return;
+    this.#becomeHolder(fence, answer.revision);
   }
 
   /** Looks whether the record still stands: the lease alone does not show that it was taken away. */
-  async #confirm(): Promise<void> {
+  async #confirmRecord(): Promise<void> {
     const sentAtMs = this.now();
-    const item = await this.store.read(DUTY_KEY, CONFIRM_MS);
+    const item = await this.store.read(DUTY_KEY, CONFIRM_TIMEOUT_MS);
     const record = item === null ? null : this.#readDuty(item);
-    if (record !== null && this.#isOurs(record)) this.#dutyUntilMs = this.#lease.trustedUntilMs(sentAtMs);
-    else this.#lose('the record is gone');
+    if (record !== null && this.#isOurs(record))
+      this.#recordTrustedUntilMs = this.#dutyLease.trustedUntilMs(sentAtMs);
+    else this.#loseDuty('the record is gone');
   }
 
   /** Need not wait for an earlier holder whose process has ended. */
-  async #hasten(fence: number): Promise<void> {
+  async #skipWaitIfHolderEnded(fence: number): Promise<void> {
     const { holder, holderActsFromMs } = this.#history;
     if (holder === null || this.now() >= this.#actsFromMs) return;
     if (!(await this.isEnded(holder)) || this.#fence !== fence) return;
@@ -379,78 +383,78 @@
       holder: name,
       life,
       fence,
-      leaseId: this.#lease.id,
+      leaseId: this.#dutyLease.id,
       actsInMs,
       era: this.#era,
     };
   }
 
   get #untilMs(): number {
-    return Math.min(this.#lease.untilMs, this.#dutyUntilMs);
+    return Math.min(this.#dutyLease.untilMs, this.#recordTrustedUntilMs);
   }
 
   /** The era of the copy. */
   get #era(): number {
-    return this.copy().revision.era;
+    return this.localCopy().revision.era;
   }
 
   /** False while the store is known to have come back, and the copy has not been read again. */
-  #isCopyOfThisEra(): boolean {
+  #isCopyOfCurrentEra(): boolean {
     return this.#era === this.store.era.current;
   }
 
   /** The store has come back from a copy: what was written since is gone, leases too, whose numbers may be given to others. */
-  #eraHasRisen(): void {
-    this.#lose('the store came back from a copy');
+  #onEraIncrease(): void {
+    this.#loseDuty('the store came back from a copy');
     this.#isRegistered = false;
-    this.#askToKeepSoon();
+    this.#requestRenewal();
   }
 
   /** A record that cannot be read says as little as one that is gone. */
-  #sight(): DutySight {
-    const { items } = this.copy();
+  #observeCopy(): DutySight {
+    const { items } = this.localCopy();
     const duty = items.get(DUTY_KEY) ?? null;
     const fence = items.get(FENCE_KEY) ?? null;
     return {
       era: this.#era,
       record: duty === null ? null : this.#readDuty(duty),
       revision: duty?.revision ?? NO_REVISION,
-      fence: fence === null ? 0 : accept('fence', fence, readFence(fence.value), this.faults),
+      fence: fence === null ? 0 : valueOrReport('fence', fence, readFence(fence.value), this.faults),
     };
   }
 
   #readDuty(item: StoredItem): DutyRecord | null {
-    return accept('duty', item, readDutyRecord(item.value), this.faults);
+    return valueOrReport('duty', item, readDutyRecord(item.value), this.faults);
   }
 
   /** True when somebody has written over this daemon's record what cannot be read: whoever promotes would not know of it. */
-  #isRecordSpoilt(): boolean {
-    const item = this.copy().items.get(DAEMON_PREFIX + this.self.name);
+  #isRegistrationUnreadable(): boolean {
+    const item = this.localCopy().items.get(DAEMON_PREFIX + this.self.name);
     return item !== undefined && readRegistration(item).kind === 'unreadable';
   }
 
   #isOurs(record: DutyRecord): boolean {
-    if (record.state !== 'held' || record.era !== this.#era || !this.#lease.isHeld) return false;
-    return record.life === this.self.life && record.leaseId === this.#lease.id;
+    if (record.state !== 'held' || record.era !== this.#era || !this.#dutyLease.isHeld) return false;
+    return record.life === this.self.life && record.leaseId === this.#dutyLease.id;
   }
 
-  #take(fence: number, revision: Revision): void {
+  #becomeHolder(fence: number, revision: Revision): void {
     this.#dutyRevision = laterOf(this.#dutyRevision, revision);
     this.#ownRevision = laterOf(this.#ownRevision, revision);
     if (this.#fence === fence || this.#isStopped) return;
-    this.#dutyUntilMs = this.#lease.trustedUntilMs(this.#askedAtMs);
+    this.#recordTrustedUntilMs = this.#dutyLease.trustedUntilMs(this.#askedAtMs);
     if (this.now() >= this.#untilMs) return;
     this.#fence = fence;
     this.#actsFromMs = Math.max(this.#actsFromMs, this.now(), this.#freeFromMs);
     this.listener.taken(fence);
-    void this.#hasten(fence);
-    void this.#hold(fence);
+    void this.#skipWaitIfHolderEnded(fence);
+    void this.#renewWhileHeld(fence);
   }
 
-  #lose(reason: string): void {
+  #loseDuty(reason: string): void {
     if (this.#fence === null) return;
     this.#fence = null;
-    this.#dutyUntilMs = Number.NEGATIVE_INFINITY;
+    this.#recordTrustedUntilMs = Number.NEGATIVE_INFINITY;
     this.listener.lost(reason);
   }
 }
--- a/src/coordination/entry-faults.ts
+++ b/src/coordination/entry-faults.ts
@@ -11,7 +11,7 @@
 export type EntryKind = 'member' | 'configuration' | 'registration' | 'lease' | 'duty' | 'fence' | 'item';
 
 /** An entry that was left out. */
-export interface LeftOutEntry {
+export interface UnreadableEntry {
   readonly kind: EntryKind;
   readonly key: string;
   /** `null` where not even that can be read. */
@@ -27,49 +27,49 @@
 }
 
 /** Keys whose last unreadable revision is remembered, so that it counts once. */
-const MAX_KEYS = 1000;
+const MAX_REMEMBERED_KEYS = 1000;
 /** Characters of a key that a line shows. */
-const SHOWN_KEY_CHARACTERS = 100;
+const MAX_LOGGED_KEY_LENGTH = 100;
 
 /** Counts and tells. */
 export class EntryFaults {
-  readonly #lines: FaultLog;
-  readonly #revisions = new Map<string, Revision>();
+  readonly #faultLog: FaultLog;
+  readonly #reportedRevisions = new Map<string, Revision>();
 
   constructor(private readonly ports: EntryFaultsPorts) {
-    this.#lines = new FaultLog(ports.log, ports.now);
+    this.#faultLog = new FaultLog(ports.log, ports.now);
   }
 
   /** An entry is left out; looking at it again changes nothing. */
-  leftOut({ kind, key, revision }: LeftOutEntry, fault: EntryFault): void {
-    if (revision !== null && !this.#isNew(key, revision)) return;
+  leftOut({ kind, key, revision }: UnreadableEntry, fault: EntryFault): void {
+    if (revision !== null && !this.#markReported(key, revision)) return;
     this.ports.count(kind, fault.kind);
     const details = {
       kind,
-      key: key.slice(0, SHOWN_KEY_CHARACTERS),
+      key: key.slice(0, MAX_LOGGED_KEY_LENGTH),
       revision: revision && formatRevision(revision),
       fault: fault.kind,
     };
-    this.#lines.tell(eventOf(kind), key, fault.reason, details);
+    this.#faultLog.tell(logEventOf(kind), key, fault.reason, details);
   }
 
   /** A key can be read, or is gone. */
   good(kind: EntryKind, key: string): void {
-    if (this.#revisions.size > 0) this.#revisions.delete(key);
-    this.#lines.clear(eventOf(kind), key);
+    if (this.#reportedRevisions.size > 0) this.#reportedRevisions.delete(key);
+    this.#faultLog.clear(logEventOf(kind), key);
   }
 
-  #isNew(key: string, revision: Revision): boolean {
-    const known = this.#revisions.get(key);
+  #markReported(key: string, revision: Revision): boolean {
+    const known = this.#reportedRevisions.get(key);
     if (known !== undefined && isSameRevision(known, revision)) return false;
-    this.#revisions.set(key, revision);
-    if (this.#revisions.size > MAX_KEYS) this.#forgetOldest();
+    this.#reportedRevisions.set(key, revision);
+    if (this.#reportedRevisions.size > MAX_REMEMBERED_KEYS) this.#forgetOldest();
     return true;
   }
 
   #forgetOldest(): void {
-    for (const oldest of this.#revisions.keys()) {
-      this.#revisions.delete(oldest);
+    for (const oldest of this.#reportedRevisions.keys()) {
+      this.#reportedRevisions.delete(oldest);
       return;
     }
   }
@@ -80,6 +80,6 @@
   return new EntryFaults({ log: () => undefined, count: () => undefined, now: () => 0 });
 }
 
-function eventOf(kind: EntryKind): string {
+function logEventOf(kind: EntryKind): string {
   return kind === 'configuration' ? 'configuration_rejected' : 'entry_left_out';
 }
--- a/src/coordination/store-lease.ts
+++ b/src/coordination/store-lease.ts
@@ -1,23 +1,24 @@
 /**
- * A lease of this daemon in the store, and until when it may be relied on by this daemon's own clock.
+ * A lease of this daemon in the store, and the time by the daemon's own clock until which it is certainly
+ * valid.
  *
  * @packageDocumentation
  */
 import type { CoordinationStore } from './coordination-store.js';
 
-/** Length and margins of a lease, in milliseconds. */
+/** Duration, safety margin and renewal interval of a lease. */
 export interface LeaseTimes {
   readonly lengthMs: number;
-  /** The holder stops relying on it this long before the store may end it. */
+  /** The holder stops relying on the lease this long before the store may expire it. */
   readonly safetyMs: number;
   readonly renewalMs: number;
 }
 
-/** One lease. Its methods reject with StoreError when the store does not answer. */
+/** One lease. Its methods reject with `StoreError` if the store does not answer. */
 export class StoreLease {
-  /** Its number, 0 while there is none. */
+  /** Id of the lease, 0 if there is none. */
   id = 0;
-  /** The store's era in which it was granted: it is gone with the end of that. */
+  /** Era of the store in which the lease was granted. A restore of the store loses the lease. */
   #era = 0;
   #untilMs = Number.NEGATIVE_INFINITY;
 
@@ -27,22 +28,22 @@
     private readonly now: () => number,
   ) {}
 
-  /** True while there is one that the store may still know. */
+  /** True if a lease was granted in the current era; it may have expired. */
   get isHeld(): boolean {
     return this.id !== 0 && this.#era === this.store.era.current;
   }
 
-  /** Until when it certainly runs, in monotonic milliseconds. */
+  /** Time until which the lease is certainly valid, in monotonic milliseconds. */
   get untilMs(): number {
     return this.isHeld ? this.#untilMs : Number.NEGATIVE_INFINITY;
   }
 
-  /** Until when what was seen of the store at `seenAtMs` may be relied on. */
-  trustedUntilMs(seenAtMs: number): number {
-    return seenAtMs + this.times.lengthMs - this.times.safetyMs;
+  /** Time until which the state read from the store by a request sent at `sentAtMs` may be relied on. */
+  trustedUntilMs(sentAtMs: number): number {
+    return sentAtMs + this.times.lengthMs - this.times.safetyMs;
   }
 
-  /** Asks for a new lease. */
+  /** Requests a new lease. */
   async grant(): Promise<void> {
     const sentAtMs = this.now();
     const { leaseId, ttlMs } = await this.store.grantLease(this.times.lengthMs);
@@ -51,8 +52,8 @@
     this.#untilMs = sentAtMs + Math.min(ttlMs, this.times.lengthMs) - this.times.safetyMs;
   }
 
-  /** Renews it; false when there is none, or it is over. */
-  async keep(): Promise<boolean> {
+  /** Renews the lease; false if there is none or it has expired. */
+  async renew(): Promise<boolean> {
     if (!this.isHeld) return false;
     const sentAtMs = this.now();
     if (!(await this.store.keepLease(this.id))) return false;
@@ -60,16 +61,16 @@
     return true;
   }
 
-  /** Forgets it: it runs out by itself. */
-  drop(): void {
+  /** Discards the lease locally; the store expires it. */
+  forget(): void {
     this.id = 0;
     this.#untilMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** Ends it in the store. */
-  async end(): Promise<void> {
+  /** Revokes the lease in the store. */
+  async revoke(): Promise<void> {
     const { id, isHeld } = this;
-    this.drop();
+    this.forget();
     if (isHeld) await this.store.endLease(id);
   }
 }
--- a/src/coordination/stored-json.ts
+++ b/src/coordination/stored-json.ts
@@ -88,8 +88,8 @@
 /** The place, which holds names of the schema and numbers alone, and what was expected there. */
 function describeIssue(issue: z.core.$ZodIssue | undefined): string {
   if (issue === undefined) return 'not as expected';
-  const place = issue.path.map(String).join('.') || 'value';
-  return `${place}: ${describeExpected(issue)}`;
+  const path = issue.path.map(String).join('.') || 'value';
+  return `${path}: ${describeExpected(issue)}`;
 }
 
 function describeExpected(issue: z.core.$ZodIssue): string {
--- a/src/coordination/value-delta.ts
+++ b/src/coordination/value-delta.ts
@@ -20,12 +20,13 @@
 const PART_END = '}';
 
 /** What makes the value before into this one. */
-export function diffValues(before: Buffer, after: Buffer): ValueDelta {
-  const placeOf = new Map<string, number>();
-  for (const [place, part] of partsOf(before).entries()) if (!placeOf.has(part)) placeOf.set(part, place);
+export function diffValues(base: Buffer, target: Buffer): ValueDelta {
+  const indexOfPart = new Map<string, number>();
+  for (const [place, part] of splitIntoParts(base).entries())
+    if (!indexOfPart.has(part)) indexOfPart.set(part, place);
   const delta: (string | CopiedParts)[] = [];
-  for (const part of partsOf(after)) {
-    const place = placeOf.get(part);
+  for (const part of splitIntoParts(target)) {
+    const place = indexOfPart.get(part);
     const last = delta.at(-1);
     if (place === undefined) {
       if (typeof last === 'string') delta[delta.length - 1] = last + part;
@@ -40,8 +41,8 @@
 }
 
 /** The value that a difference leads to. */
-export function applyDelta(before: Buffer, delta: ValueDelta): Buffer {
-  const parts = partsOf(before);
+export function applyDelta(base: Buffer, delta: ValueDelta): Buffer {
+  const parts = splitIntoParts(base);
   const text = delta
     .map((piece) =>
       typeof piece === 'string' ? piece : parts.slice(piece.from, piece.from + piece.count).join(''),
@@ -51,15 +52,18 @@
 }
 
 /** About how many bytes a difference takes. */
-export function sizeOfDelta(delta: ValueDelta): number {
-  return delta.reduce((sum, piece) => sum + (typeof piece === 'string' ? piece.length : COPY_BYTES), 0);
+export function estimateDeltaBytes(delta: ValueDelta): number {
+  return delta.reduce(
+    (sum, piece) => sum + (typeof piece === 'string' ? piece.length : COPIED_PARTS_BYTES),
+    0,
+  );
 }
 
 /** About what the name of copied parts takes, in bytes. */
-const COPY_BYTES = 8;
+const COPIED_PARTS_BYTES = 8;
 
 /** One character a byte, so that any value can be divided. */
-function partsOf(value: Buffer): string[] {
+function splitIntoParts(value: Buffer): string[] {
   const text = value.toString('latin1');
   const parts: string[] = [];
   let start = 0;
--- a/src/coordination/watched-store.ts
+++ b/src/coordination/watched-store.ts
@@ -25,21 +25,21 @@
 }
 
 /** Longest wait of one watch, in milliseconds: bounds how long a cut connection goes unnoticed. */
-const WATCH_MS = 2500;
+const MAX_WATCH_MS = 2500;
 
 /** Wait of the first watch after a failure, in milliseconds: shows soon that the store answers again. */
-const FIRST_WATCH_MS = 1;
+const WATCH_AFTER_FAILURE_MS = 1;
 
 /** Pause after a failure, in milliseconds: doubled from the first to the longest with each failure in a row. */
-const FIRST_PAUSE_MS = 40;
+const MIN_BACKOFF_MS = 40;
 /**
  * Longest pause of a daemon that has read nothing yet, and cannot serve, and of one that goes on from memory: calls that the
  * store turns away are priced like others.
  */
-const LONGEST_PAUSE_UNREAD_MS = 400;
-const LONGEST_PAUSE_MS = 1000;
+const MAX_BACKOFF_UNLOADED_MS = 400;
+const MAX_BACKOFF_MS = 1000;
 /** The latter grows with the number of daemons, in milliseconds for each, up to twice its length. */
-const PAUSE_MS_PER_WATCHER = 10;
+const BACKOFF_MS_PER_WATCHER = 10;
 
 /**
  * Rest after an answer with changes, in milliseconds: a change seldom comes alone, and those that follow it are told
@@ -47,18 +47,18 @@
  * number, up to a limit: daemons are not to differ for long in what configuration they follow. What another daemon passes
  * on has rested there.
  */
-const LEAST_REST_MS = 50;
-const REST_MS_PER_WATCHER = 2;
-const LONGEST_REST_MS = 180;
+const MIN_BATCHING_MS = 50;
+const BATCHING_MS_PER_WATCHER = 2;
+const MAX_BATCHING_MS = 180;
 
 /** Time for each daemon within which all read the store whole again, in milliseconds: a return concerns all of them at once. */
-const TURN_MS_PER_WATCHER = 5;
+const RELOAD_SPREAD_MS_PER_WATCHER = 5;
 
 /** Characters of a key that a line shows. */
-const SHOWN_KEY_CHARACTERS = 100;
+const MAX_LOGGED_KEY_LENGTH = 100;
 
 /** Where changes are followed from. */
-const WHOLE_STORE = '';
+const ALL_KEYS_PREFIX = '';
 
 /** What a copy needs. */
 export interface WatchedStoreOptions {
@@ -86,14 +86,14 @@
   #prefetched: ReturnType<ChangeFeed['list']> | null = null;
   #revision: Revision | null = null;
   /** Ends the present watch: the copy has to be read again. */
-  #endWatch: () => void = () => undefined;
+  #abandonWatch: () => void = () => undefined;
   #isStopped = false;
   #isAvailable = true;
   #failures = 0;
 
   constructor(private readonly options: WatchedStoreOptions) {
     this.#faults = new FaultLog(options.log, options.now);
-    options.era.onRise(() => this.#endWatch());
+    options.era.onRise(() => this.#abandonWatch());
   }
 
   /** Tells a listener of the keys under a prefix; to be called before {@link WatchedStore.run}. */
@@ -113,7 +113,7 @@
 
   /** Asks for the keys ahead of {@link WatchedStore.run}, while the process is still getting ready. */
   prefetch(): void {
-    this.#prefetched = this.options.feed.list(WHOLE_STORE);
+    this.#prefetched = this.options.feed.list(ALL_KEYS_PREFIX);
     // Whoever runs the copy hears of a failure; nobody may do so.
     this.#prefetched.catch(() => undefined);
   }
@@ -123,11 +123,11 @@
     let mustLoad = true;
     while (!this.#isStopped) {
       try {
-        if (mustLoad) await this.#loadInTurn();
+        if (mustLoad) await this.#loadStaggered();
         mustLoad = !(await this.#follow());
-        this.#succeeded();
+        this.#recordSuccess();
       } catch (error) {
-        await this.#failed(String(error));
+        await this.#backOff(String(error));
       }
     }
   }
@@ -143,52 +143,53 @@
   }
 
   /** Reads the store; again, where it was read before: all daemons may have to then, and do so one after the other. */
-  async #loadInTurn(): Promise<void> {
+  async #loadStaggered(): Promise<void> {
     const { rest = delay, random } = this.options;
-    if (this.#revision !== null) await rest(random() * TURN_MS_PER_WATCHER * this.watchers);
+    if (this.#revision !== null) await rest(random() * RELOAD_SPREAD_MS_PER_WATCHER * this.watchers);
     await this.#load();
   }
 
   async #load(): Promise<void> {
-    const listing = this.#prefetched ?? this.options.feed.list(WHOLE_STORE);
+    const listing = this.#prefetched ?? this.options.feed.list(ALL_KEYS_PREFIX);
     this.#prefetched = null;
     const { items, revision } = await listing;
     // What the copy of the store lacks is not gone: listeners are to take it as the first word after an outage.
-    if (this.#revision !== null) this.#noteReading(this.#revision, revision, items.length);
+    if (this.#revision !== null) this.#recordReload(this.#revision, revision, items.length);
     const present = new Set(items.map((item) => item.key));
     for (const key of [...this.#items.keys()]) if (!present.has(key)) this.#remove(key, revision);
     for (const item of items) this.#put(item);
     this.#revision = revision;
     this.changes.restart(revision, this.options.now());
     for (const { prefix, listener } of this.#listeners)
-      this.#tell(prefix, 'settled', () => listener.settled());
+      this.#notify(prefix, 'settled', () => listener.settled());
   }
 
-  #noteReading(before: Revision, revision: Revision, count: number): void {
-    this.options.log('store_read', { revision: formatRevision(revision), items: count });
-    if (revision.era > before.era) this.#lose('came back from a copy');
+  #recordReload(before: Revision, revision: Revision, itemCount: number): void {
+    this.options.log('store_read', { revision: formatRevision(revision), items: itemCount });
+    if (revision.era > before.era) this.#recordFailure('came back from a copy');
   }
 
   /** One watch; false when everything has to be read again. */
   async #follow(): Promise<boolean> {
-    const waitMs = this.#failures > 0 ? FIRST_WATCH_MS : WATCH_MS;
+    const waitMs = this.#failures > 0 ? WATCH_AFTER_FAILURE_MS : MAX_WATCH_MS;
     const afterRevision = this.revision;
     // The rise may have been heard of while nothing was watched, and a daemon that passes changes on may not know of it yet.
     if (afterRevision.era < this.options.era.current) return false;
     const answer = await this.#watch(afterRevision, waitMs);
     if (answer.kind === 'compacted') return false;
-    const itemsBefore: (StoredItem | null)[] = [];
+    const previousItems: (StoredItem | null)[] = [];
     for (const event of answer.events) {
-      itemsBefore.push(this.#items.get(event.key) ?? null);
+      previousItems.push(this.#items.get(event.key) ?? null);
       if (event.value === null) this.#remove(event.key, event.revision);
       else this.#put({ key: event.key, value: event.value, revision: event.revision });
     }
     this.#revision = laterOf(afterRevision, answer.revision);
     if (answer.isPassedOn) this.changes.suspend();
-    else this.changes.append(afterRevision, answer.events, answer.revision, this.options.now(), itemsBefore);
-    this.#settle(answer.events);
+    else
+      this.changes.append(afterRevision, answer.events, answer.revision, this.options.now(), previousItems);
+    this.#notifySettled(answer.events);
     const { rest = delay } = this.options;
-    if (answer.events.length > 0 && !answer.isPassedOn) await rest(this.#restMs());
+    if (answer.events.length > 0 && !answer.isPassedOn) await rest(this.#batchingMs());
     return true;
   }
 
@@ -197,40 +198,40 @@
     const watching = this.options.feed.watch(afterRevision, waitMs);
     // Nobody hears of a failure after the watch was given up.
     watching.catch(() => undefined);
-    const givenUp = new Promise<FeedAnswer>((resolve) => {
-      this.#endWatch = () => resolve({ kind: 'compacted', isPassedOn: false });
+    const abandoned = new Promise<FeedAnswer>((resolve) => {
+      this.#abandonWatch = () => resolve({ kind: 'compacted', isPassedOn: false });
     });
-    return Promise.race([watching, givenUp]);
+    return Promise.race([watching, abandoned]);
   }
 
-  #restMs(): number {
-    return Math.min(LONGEST_REST_MS, LEAST_REST_MS + REST_MS_PER_WATCHER * (this.watchers - 1));
+  #batchingMs(): number {
+    return Math.min(MAX_BATCHING_MS, MIN_BATCHING_MS + BATCHING_MS_PER_WATCHER * (this.watchers - 1));
   }
 
-  #longestPauseMs(): number {
-    return LONGEST_PAUSE_MS + Math.min(LONGEST_PAUSE_MS, PAUSE_MS_PER_WATCHER * (this.watchers - 1));
+  #maxBackoffMs(): number {
+    return MAX_BACKOFF_MS + Math.min(MAX_BACKOFF_MS, BACKOFF_MS_PER_WATCHER * (this.watchers - 1));
   }
 
-  #settle(events: readonly StoreEvent[]): void {
+  #notifySettled(events: readonly StoreEvent[]): void {
     for (const { prefix, listener } of this.#listeners)
       if (events.some(({ key }) => key.startsWith(prefix)))
-        this.#tell(prefix, 'settled', () => listener.settled());
+        this.#notify(prefix, 'settled', () => listener.settled());
   }
 
   #put(item: StoredItem): void {
     const known = this.#items.get(item.key);
     if (known !== undefined && !isLater(item.revision, known.revision))
-      return this.#noteNotNewer(known, item);
+      return this.#reportNotNewer(known, item);
     this.#items.set(item.key, item);
     for (const { prefix, listener } of this.#listeners)
-      if (item.key.startsWith(prefix)) this.#tell(prefix, 'changed', () => listener.changed(item));
+      if (item.key.startsWith(prefix)) this.#notify(prefix, 'changed', () => listener.changed(item));
   }
 
   /** An item that differs from the one held is not taken for its revision alone: nobody else would tell. */
-  #noteNotNewer(known: StoredItem, { key, value, revision }: StoredItem): void {
+  #reportNotNewer(known: StoredItem, { key, value, revision }: StoredItem): void {
     if (isSameRevision(known.revision, revision) && known.value.equals(value)) return;
     this.options.itemNotNewer?.();
-    const details = { key: key.slice(0, SHOWN_KEY_CHARACTERS), held: formatRevision(known.revision) };
+    const details = { key: key.slice(0, MAX_LOGGED_KEY_LENGTH), held: formatRevision(known.revision) };
     this.#faults.tell('item_not_newer', key, `revision ${formatRevision(revision)}`, details);
   }
 
@@ -239,44 +240,47 @@
     if (known === undefined || isLater(known.revision, revision)) return;
     this.#items.delete(key);
     for (const { prefix, listener } of this.#listeners)
-      if (key.startsWith(prefix)) this.#tell(prefix, 'removed', () => listener.removed(key));
+      if (key.startsWith(prefix)) this.#notify(prefix, 'removed', () => listener.removed(key));
   }
 
-  #succeeded(): void {
+  #recordSuccess(): void {
     this.#failures = 0;
     if (this.#isAvailable) return;
     this.#isAvailable = true;
-    this.#tellAvailability('answers again');
+    this.#notifyAvailability('answers again');
   }
 
-  #tellAvailability(reason: string): void {
+  #notifyAvailability(reason: string): void {
     this.options.log(this.#isAvailable ? 'store_regained' : 'store_lost', { reason });
     for (const { prefix, listener } of this.#listeners)
-      this.#tell(prefix, 'availability', () => listener.availability(this.#isAvailable));
+      this.#notify(prefix, 'availability', () => listener.availability(this.#isAvailable));
   }
 
   /** A fault of a listener is not one of the store. */
-  #tell(prefix: string, call: keyof WatchedPrefixListener, telling: () => void): void {
+  #notify(prefix: string, callback: keyof WatchedPrefixListener, notify: () => void): void {
     try {
-      telling();
+      notify();
     } catch (error) {
-      this.#faults.tell('listener_failed', `${prefix} ${call}`, nameFault(error), { prefix, call });
+      this.#faults.tell('listener_failed', `${prefix} ${callback}`, nameFault(error), {
+        prefix,
+        call: callback,
+      });
     }
   }
 
-  #lose(reason: string): void {
+  #recordFailure(reason: string): void {
     this.#failures += 1;
     this.changes.suspend();
     if (!this.#isAvailable) return;
     this.#isAvailable = false;
-    this.#tellAvailability(reason);
+    this.#notifyAvailability(reason);
   }
 
-  async #failed(reason: string): Promise<void> {
-    this.#lose(reason);
-    const longest = this.#revision === null ? LONGEST_PAUSE_UNREAD_MS : this.#longestPauseMs();
-    const ceiling = Math.min(longest, FIRST_PAUSE_MS * 2 ** Math.min(this.#failures, 10));
+  async #backOff(reason: string): Promise<void> {
+    this.#recordFailure(reason);
+    const maxMs = this.#revision === null ? MAX_BACKOFF_UNLOADED_MS : this.#maxBackoffMs();
+    const backoffMs = Math.min(maxMs, MIN_BACKOFF_MS * 2 ** Math.min(this.#failures, 10));
     const { rest = delay } = this.options;
-    await rest(ceiling * (0.5 + this.options.random() / 2));
+    await rest(backoffMs * (0.5 + this.options.random() / 2));
   }
 }
