--- a/src/coordination/daemon-register.ts
+++ b/src/coordination/daemon-register.ts
@@ -1,5 +1,6 @@
 /**
- * The register of daemons in the store: a record of each, which stays, and under a lease that it lives.
+ * The registry of daemons in the store. Each daemon has a permanent record under `daemons/` and, while its
+ * lease is valid, a key under `live/`.
  *
  * @packageDocumentation
  */
@@ -13,16 +14,16 @@
 export const DAEMON_PREFIX = `${COORDINATION_PREFIX}daemons/`;
 export const LIVE_PREFIX = `${COORDINATION_PREFIX}live/`;
 
-/** The daemons as the store has them. */
+/** The daemons registered in the store. */
 export interface RegisteredDaemons {
   readonly registered: ReadonlyMap<string, DaemonRecord>;
-  /** Names of those whose lease runs. */
+  /** Names of the daemons whose lease is valid. */
   readonly leased: ReadonlySet<string>;
-  /** Names of those that have a record which cannot be read. */
+  /** Names of the daemons whose record cannot be read. */
   readonly unreadable: ReadonlySet<string>;
 }
 
-/** Reads the daemons out of the store's items; what cannot be read is left out, and told to `faults`. */
+/** Reads the daemons from the items of the store. Unreadable entries are ignored and reported to `faults`. */
 export function readDaemons(
   items: ReadonlyMap<string, StoredItem>,
   faults = untoldFaults(),
@@ -43,10 +44,10 @@
   return { registered, leased, unreadable };
 }
 
-/** What was read before: the records of all daemons are looked at with each change of any. */
+/** Results by item: the records of all daemons are read again with each change of any of them. */
 const parsedRegistrations = new WeakMap<StoredItem, Reading<DaemonRecord>>();
 
-/** Reads the record of a daemon, once for each item. */
+/** Reads the record of a daemon; each item is parsed once. */
 export function readRegistration(item: StoredItem): Reading<DaemonRecord> {
   const cached = parsedRegistrations.get(item);
   if (cached !== undefined) return cached;
@@ -56,7 +57,7 @@
   return reading;
 }
 
-/** What was read, or `null` where the entry is left out. */
+/** Returns the value that was read, or reports the fault and returns `null`. */
 export function valueOrReport<T>(
   kind: EntryKind,
   item: StoredItem,
@@ -72,9 +73,10 @@
 }
 
 /**
- * Reads the daemons whose lease runs from the store itself.
+ * Reads the daemons whose lease is valid directly from the store.
  *
- * @throws StoreError also when one of them has a record that cannot be read: it may hold evidence, and nobody could ask it
+ * @throws StoreError also if one of them has an unreadable record: it may hold leadership evidence, and its
+ * address is not known
  */
 export async function listLeasedDaemons(
   store: Pick<CoordinationStore, 'list'>,
@@ -82,6 +84,6 @@
   const { items } = await store.list(COORDINATION_PREFIX);
   const { registered, leased, unreadable } = readDaemons(new Map(items.map((item) => [item.key, item])));
   if ([...leased].some((name) => unreadable.has(name)))
-    throw new StoreError('the record of a daemon that lives cannot be read', false);
+    throw new StoreError('the record of a daemon with a valid lease cannot be read', false);
   return [...registered.values()].filter(({ name }) => leased.has(name));
 }
--- a/src/coordination/entry-faults.ts
+++ b/src/coordination/entry-faults.ts
@@ -1,5 +1,5 @@
 /**
- * What becomes known of entries of the store that cannot be read: a count of all, and a few lines.
+ * Reports entries of the store that cannot be read: each one is counted, and a limited number is logged.
  *
  * @packageDocumentation
  */
@@ -7,31 +7,31 @@
 import { formatRevision, isSameRevision, type Revision } from './revision.js';
 import type { EntryFault, FaultKind } from './stored-json.js';
 
-/** What an entry would have said, had it been readable. */
+/** What an entry would have contained, had it been readable. */
 export type EntryKind = 'member' | 'configuration' | 'registration' | 'lease' | 'duty' | 'fence' | 'item';
 
-/** An entry that was left out. */
+/** An entry that was ignored because it cannot be read. */
 export interface UnreadableEntry {
   readonly kind: EntryKind;
   readonly key: string;
-  /** `null` where not even that can be read. */
+  /** `null` if the revision cannot be read either. */
   readonly revision: Revision | null;
 }
 
-/** What the faults are told to. */
+/** Outputs of the reports. */
 export interface EntryFaultsPorts {
   log(event: string, details: Readonly<Record<string, unknown>>): void;
-  /** One more was left out. */
+  /** Counts an entry that was ignored. */
   count(kind: EntryKind, fault: FaultKind): void;
   now(): number;
 }
 
-/** Keys whose last unreadable revision is remembered, so that it counts once. */
+/** Number of keys whose last unreadable revision is remembered, so that each revision is counted once. */
 const MAX_REMEMBERED_KEYS = 1000;
-/** Characters of a key that a line shows. */
+/** A longer key is truncated in the log, in characters. */
 const MAX_LOGGED_KEY_LENGTH = 100;
 
-/** Counts and tells. */
+/** Counts and logs unreadable entries. */
 export class EntryFaults {
   readonly #faultLog: FaultLog;
   readonly #reportedRevisions = new Map<string, Revision>();
@@ -40,7 +40,7 @@
     this.#faultLog = new FaultLog(ports.log, ports.now);
   }
 
-  /** An entry is left out; looking at it again changes nothing. */
+  /** Reports an ignored entry. A revision that was already reported for its key is not reported again. */
   leftOut({ kind, key, revision }: UnreadableEntry, fault: EntryFault): void {
     if (revision !== null && !this.#markReported(key, revision)) return;
     this.ports.count(kind, fault.kind);
@@ -53,7 +53,7 @@
     this.#faultLog.tell(logEventOf(kind), key, fault.reason, details);
   }
 
-  /** A key can be read, or is gone. */
+  /** Clears the fault of a key that can be read again or was deleted. */
   good(kind: EntryKind, key: string): void {
     if (this.#reportedRevisions.size > 0) this.#reportedRevisions.delete(key);
     this.#faultLog.clear(logEventOf(kind), key);
@@ -75,7 +75,7 @@
   }
 }
 
-/** Faults that nobody asks about. */
+/** Reports that are neither counted nor logged. */
 export function untoldFaults(): EntryFaults {
   return new EntryFaults({ log: () => undefined, count: () => undefined, now: () => 0 });
 }
--- a/src/coordination/stored-json.ts
+++ b/src/coordination/stored-json.ts
@@ -1,43 +1,43 @@
 /**
- * Values of the store as JSON of a known shape. Anybody may have written them: what does not fit is told as a fault and never
- * thrown, and the fault names the place and what was expected there, not what was found. Pure.
+ * Parses values of the store as JSON and validates them against a schema. Any client of the store may have
+ * written them, so an invalid value is returned as a fault and never thrown. A fault names the path and what
+ * was expected there, and never quotes the value. Pure.
  *
  * @packageDocumentation
  */
 import { isUtf8 } from 'node:buffer';
 import * as z from 'zod/mini';
 
-/** Longest key of the store, in bytes. */
+/** Longest key that is accepted, in bytes. */
 const MAX_KEY_BYTES = 200;
-/** Largest value of an entry that is read, in bytes: some hundred times what any takes. */
+/** Largest value that is parsed, in bytes: about a hundred times the size of any valid entry. */
 export const MAX_ENTRY_BYTES = 64 * 1024;
 
-/** What kind of fault an entry has. */
 export type FaultKind = 'key' | 'size' | 'encoding' | 'json' | 'shape';
 
 /** Why an entry cannot be read. */
 export interface EntryFault {
   readonly kind: FaultKind;
-  /** For the log: quotes no value. */
+  /** For the log; does not quote the value. */
   readonly reason: string;
 }
 
-/** An entry as read. */
+/** Result of reading an entry. */
 export type Reading<T> =
   { readonly kind: 'read'; readonly value: T } | { readonly kind: 'unreadable'; readonly fault: EntryFault };
 
-/** A name that is sent as one word of a line: no blank, no line end, no other control character. */
+/** A name that can be sent as one word of a line: no white space and no control characters. */
 export const word = z.string().check(z.regex(/^[^\s\u0000-\u001f\u007f-\u009f]+$/));
-/** A text that says something. */
+/** A non-empty string. */
 export const text = z.string().check(z.minLength(1));
-/** A whole number of 0 or more. */
+/** An integer of 0 or more. */
 export const count = z.int().check(z.nonnegative());
 /** A number of 0 or more. */
 export const amount = z.number().check(z.nonnegative());
-/** A TCP port that something can listen on. */
+/** A TCP port, from 1 to 65535. */
 export const port = z.int().check(z.positive(), z.lte(65_535));
 
-/** Reads a value that is JSON of a shape, of at most `maxBytes` bytes. */
+/** Parses a JSON value of at most `maxBytes` bytes and validates it against a schema. */
 export function readJson<Schema extends z.ZodMiniType>(
   value: Buffer,
   schema: Schema,
@@ -49,7 +49,7 @@
   return parsed.kind === 'read' ? readShape(parsed.value, schema) : parsed;
 }
 
-/** Reads what is JSON already. */
+/** Validates a parsed value against a schema. */
 export function readShape<Schema extends z.ZodMiniType>(
   value: unknown,
   schema: Schema,
@@ -59,16 +59,17 @@
   return unreadable('shape', describeIssue(result.error.issues[0]));
 }
 
-/** The name that follows a prefix in a key. */
+/** Returns the name that follows a prefix in a key. */
 export function readName(key: string, prefix: string): Reading<string> {
   const name = key.slice(prefix.length);
   if (name === '') return unreadable('key', 'no name');
   if (Buffer.byteLength(key) > MAX_KEY_BYTES) return unreadable('key', 'too long');
-  if (!word.safeParse(name).success) return unreadable('key', 'name of one word expected');
+  if (!word.safeParse(name).success)
+    return unreadable('key', 'name without white space or control characters expected');
   return { kind: 'read', value: name };
 }
 
-/** A fault. */
+/** Builds the result for an entry that cannot be read. */
 export function unreadable(
   kind: FaultKind,
   reason: string,
@@ -76,7 +77,7 @@
   return { kind: 'unreadable', fault: { kind, reason } };
 }
 
-/** The error of the parser is not passed on: it quotes the text. */
+/** Discards the error of the parser, which quotes the text. */
 function parseJson(value: Buffer): Reading<unknown> {
   try {
     return { kind: 'read', value: JSON.parse(value.toString()) as unknown };
@@ -85,9 +86,12 @@
   }
 }
 
-/** The place, which holds names of the schema and numbers alone, and what was expected there. */
+/**
+ * Path and expectation. The path consists of field names of the schema and of indices only, so it quotes no
+ * value.
+ */
 function describeIssue(issue: z.core.$ZodIssue | undefined): string {
-  if (issue === undefined) return 'not as expected';
+  if (issue === undefined) return 'does not match the schema';
   const path = issue.path.map(String).join('.') || 'value';
   return `${path}: ${describeExpected(issue)}`;
 }
@@ -103,6 +107,6 @@
     case 'too_big':
       return `${String(issue.maximum)} or less expected`;
     default:
-      return 'another form expected';
+      return 'different format expected';
   }
 }
