--- a/src/coordination/change-feed.test.ts
+++ b/src/coordination/change-feed.test.ts
@@ -1,5 +1,5 @@
 /**
- * Following the store through another daemon: what is passed on, and when it is not relied on.
+ * Watching the store through a delegate: which changes are relayed, and when a response is rejected.
  *
  * @packageDocumentation
  */
@@ -31,23 +31,23 @@
   return { name, life: `${name}-1`, host: name, port: 1, gatewayPort: 2, zone, capacity: 1 };
 }
 
-function revisionsOf(changes: ReturnType<ChangeLog['since']>): number[] | null {
+function revisionNumbers(changes: ReturnType<ChangeLog['since']>): number[] | null {
   return changes === null ? null : changes.map(({ number }) => number);
 }
 
-describe('the log of changes', () => {
-  test('holds what came after the store was read, and says so when it does not', () => {
+describe('the change log', () => {
+  test('has the changes after a full read of the store, and returns null for a revision before it', () => {
     const log = new ChangeLog();
     assert.equal(log.since(at(0)), null);
     log.restart(at(10), 0);
     log.append(at(10), [put('a', 11), put('b', 12)], at(12), 0);
-    assert.deepEqual(revisionsOf(log.since(at(10))), [11, 12]);
-    assert.deepEqual(revisionsOf(log.since(at(11))), [12]);
-    assert.deepEqual(revisionsOf(log.since(at(99))), []);
+    assert.deepEqual(revisionNumbers(log.since(at(10))), [11, 12]);
+    assert.deepEqual(revisionNumbers(log.since(at(11))), [12]);
+    assert.deepEqual(revisionNumbers(log.since(at(99))), []);
     assert.equal(log.since(at(9)), null);
   });
 
-  test('begins anew after it was suspended: what was missed meanwhile is not passed over', () => {
+  test('starts empty after it was suspended, so that changes missed in between are not skipped', () => {
     const log = new ChangeLog();
     log.restart(at(10), 0);
     log.append(at(10), [put('a', 11)], at(11), 0);
@@ -55,10 +55,10 @@
     assert.equal(log.since(at(11)), null);
     log.append(at(20), [put('a', 21)], at(21), 0);
     assert.equal(log.since(at(11)), null);
-    assert.deepEqual(revisionsOf(log.since(at(20))), [21]);
+    assert.deepEqual(revisionNumbers(log.since(at(20))), [21]);
   });
 
-  test('is bounded in number and bytes, and never has a hole that it does not know of', () => {
+  test('is bounded in number and bytes, and returns null instead of an incomplete list', () => {
     const sizes = fc.array(fc.integer({ min: 0, max: MAX_RELAYED_BYTES }), { minLength: 1, maxLength: 120 });
     fc.assert(
       fc.property(sizes, fc.nat(200), (bytes, after) => {
@@ -69,26 +69,26 @@
         );
         const since = log.since(at(after));
         const wanted = bytes.map((_size, index) => index + 1).filter((revision) => revision > after);
-        assert.ok(since === null || revisionsOf(since)?.join() === wanted.join());
+        assert.ok(since === null || revisionNumbers(since)?.join() === wanted.join());
       }),
       { seed: 20261202, numRuns: 200 },
     );
   });
 
-  test('knows nothing of what lies between two eras of the store', async () => {
+  test('has no changes across two eras of the store', async () => {
     const log = new ChangeLog();
     log.restart(at(10), 0);
     log.append(at(10), [put('a', 11)], at(11), 0);
     log.restart({ era: 1, number: 5 }, 0);
     assert.equal(log.since(at(10)), null);
     assert.equal(log.since(at(4)), null);
-    assert.deepEqual(revisionsOf(log.since({ era: 1, number: 5 })), []);
+    assert.deepEqual(revisionNumbers(log.since({ era: 1, number: 5 })), []);
     const relay = new ChangeRelay(log, () => 0);
     assert.equal((await relay.ask(at(11), 1000)).kind, 'forgotten');
     assert.equal((await relay.ask({ era: 2, number: 1 }, 1000)).kind, 'unavailable');
   });
 
-  test('passes a large value on by its key alone', () => {
+  test('relays only the key of a large value', () => {
     const log = new ChangeLog();
     log.restart(at(0), 0);
     log.append(
@@ -104,8 +104,8 @@
   });
 });
 
-describe('a daemon that passes changes on', () => {
-  test('answers at once with what it has, and otherwise as soon as there is something', async () => {
+describe('the change relay', () => {
+  test('answers at once if there are changes, and otherwise with the next change', async () => {
     const log = new ChangeLog();
     const relay = new ChangeRelay(log, () => 0);
     log.restart(at(5), 0);
@@ -116,7 +116,7 @@
     assert.deepEqual(await relay.ask(at(5), 1000), answer);
   });
 
-  test('says that it has not heard of the store, also to those who wait', async () => {
+  test('is unavailable without a recent response of the store, also for waiting requests', async () => {
     const log = new ChangeLog();
     let now = 0;
     const relay = new ChangeRelay(log, () => now);
@@ -131,17 +131,17 @@
   });
 });
 
-interface Rig {
+interface FeedFixture {
   readonly feed: DelegatedFeed;
   readonly asked: string[];
   state: { now: number; isDirect: boolean; delegates: readonly DaemonRecord[] | null };
   answers: Map<string, PassedChanges | null>;
 }
 
-function rig(
+function feedFixture(
   read: CoordinationStore['read'] = () => Promise.resolve(null),
   held: ReadonlyMap<string, StoredItem> = new Map(),
-): Rig {
+): FeedFixture {
   const asked: string[] = [];
   const state = { now: 0, isDirect: false, delegates: [daemon('d1'), daemon('d2'), daemon('far', 'b')] };
   const answers = new Map<string, PassedChanges | null>();
@@ -177,7 +177,7 @@
   return { kind: 'changes', changes: log.since(at(0)) ?? [], revision: at(9), ageMs };
 }
 
-describe('a large value of which little has changed', () => {
+describe('a large value with a small change', () => {
   const before = {
     key: 'c',
     value: Buffer.from(`{"version":1,"parts":[${partsText(300)}]}`),
@@ -201,35 +201,35 @@
     ).join();
   }
 
-  function passed(): PassedChanges {
+  function relayedChanges(): PassedChanges {
     const log = new ChangeLog();
     log.restart(at(4), 0);
     log.append(at(4), [after, later], at(8), 0, [before, after]);
     return { kind: 'changes', changes: log.since(at(4)) ?? [], revision: at(8), ageMs: 10 };
   }
 
-  test('is passed on as the difference, and whole by whoever holds the value before', async () => {
-    const answer = passed();
+  test('is relayed as a delta, and decoded by a daemon that holds the base value', async () => {
+    const answer = relayedChanges();
     const bytes = JSON.stringify(answer).length;
     assert.ok(bytes < before.value.length / 20, `${bytes} bytes for two changes`);
-    const { feed, answers } = rig(undefined, new Map([['c', before]]));
+    const { feed, answers } = feedFixture(undefined, new Map([['c', before]]));
     answers.set('d1', answer);
-    const heard = await feed.watch(at(4), 2500);
-    assert.ok(heard.kind === 'events');
-    assert.deepEqual(heard.events, [after, later]);
+    const received = await feed.watch(at(4), 2500);
+    assert.ok(received.kind === 'events');
+    assert.deepEqual(received.events, [after, later]);
   });
 
-  test('is read from the store by whoever holds another', async () => {
-    const { feed, answers } = rig(
+  test('is read from the store by a daemon that does not hold the base value', async () => {
+    const { feed, answers } = feedFixture(
       () => Promise.resolve(later),
       new Map([['c', { ...before, revision: at(3) }]]),
     );
-    answers.set('d1', passed());
-    const heard = await feed.watch(at(4), 2500);
-    assert.ok(heard.kind === 'events' && heard.events.every(({ value }) => value === later.value));
+    answers.set('d1', relayedChanges());
+    const received = await feed.watch(at(4), 2500);
+    assert.ok(received.kind === 'events' && received.events.every(({ value }) => value === later.value));
   });
 
-  test('comes out as it went in, whatever the values are', () => {
+  test('is restored exactly from any base value', () => {
     const text = fc.array(fc.constantFrom('{"a":1}', '{"b":2}', ',', 'x', '}', 'é', '{"c":'), {
       maxLength: 40,
     });
@@ -251,9 +251,9 @@
   });
 });
 
-describe('a daemon that follows through another', () => {
-  test('asks one in its zone, and stays with it', async () => {
-    const { feed, asked, answers } = rig();
+describe('a daemon that watches through a delegate', () => {
+  test('asks a delegate of its zone, and keeps asking the same one', async () => {
+    const { feed, asked, answers } = feedFixture();
     answers.set('d1', changes(10, [put('a', 3)]));
     const answer = await feed.watch(at(0), 2500);
     assert.ok(answer.kind === 'events' && answer.isPassedOn && answer.events[0]?.key === 'a');
@@ -261,8 +261,8 @@
     assert.deepEqual(asked, ['d1', 'd1']);
   });
 
-  test('asks the store when that one does not answer, then another; the first again after a while', async () => {
-    const { feed, asked, answers, state } = rig();
+  test('asks the store if a delegate does not answer, then another delegate, and the first again after the backoff', async () => {
+    const { feed, asked, answers, state } = feedFixture();
     answers.set('d2', changes(10));
     assert.equal((await feed.watch(at(0), 2500)).isPassedOn, false);
     assert.equal((await feed.watch(at(0), 2500)).isPassedOn, true);
@@ -275,32 +275,32 @@
     assert.deepEqual(asked, ['d1', 'store 2500', 'd2', 'd2', 'store 2500', 'store 2500', 'd1']);
   });
 
-  test('does not rely on one that has not heard of the store for long', async () => {
-    const { feed, answers } = rig();
+  test('rejects a response of a delegate whose store information is too old', async () => {
+    const { feed, answers } = feedFixture();
     answers.set('d1', changes(MAX_STORE_AGE_MS + 1, [put('a', 3)]));
     assert.equal((await feed.watch(at(0), 2500)).isPassedOn, false);
   });
 
-  test('reads everything again when the other does not keep what it needs', async () => {
-    const { feed, answers } = rig();
+  test('reads the whole store if the delegate no longer has the changes', async () => {
+    const { feed, answers } = feedFixture();
     answers.set('d1', { kind: 'forgotten' });
     assert.deepEqual(await feed.watch(at(0), 2500), { kind: 'compacted', isPassedOn: true });
   });
 
   test('reads large values from the store itself', async () => {
     const large = Buffer.alloc(MAX_RELAYED_BYTES + 1, 7);
-    const { feed, answers } = rig((key) => Promise.resolve({ key, value: large, revision: at(4) }));
+    const { feed, answers } = feedFixture((key) => Promise.resolve({ key, value: large, revision: at(4) }));
     answers.set('d1', changes(10, [put('big', 3, large)]));
     const answer = await feed.watch(at(0), 2500);
     assert.ok(answer.kind === 'events');
     assert.deepEqual(answer.events, [{ key: 'big', value: large, revision: at(4) }]);
-    const broken = rig(() => Promise.reject(new StoreError('down', false)));
-    broken.answers.set('d1', changes(10, [put('big', 3, large)]));
-    await assert.rejects(broken.feed.watch(at(0), 2500), StoreError);
+    const storeDown = feedFixture(() => Promise.reject(new StoreError('down', false)));
+    storeDown.answers.set('d1', changes(10, [put('big', 3, large)]));
+    await assert.rejects(storeDown.feed.watch(at(0), 2500), StoreError);
   });
 
-  test('is direct where it works for the others, holds the duty, or the fleet is small', async () => {
-    const { feed, asked, state } = rig();
+  test('watches the store itself as a delegate, if it must, or if there are no delegates', async () => {
+    const { feed, asked, state } = feedFixture();
     state.isDirect = true;
     await feed.watch(at(0), 2500);
     state.isDirect = false;
--- a/src/coordination/change-feed.ts
+++ b/src/coordination/change-feed.ts
@@ -1,9 +1,11 @@
 /**
- * Where a daemon hears of the store's changes: from the store, or from a daemon of its zone that follows the store.
+ * Source of a daemon's updates: the store itself, or a delegate, which is a daemon of the same zone that
+ * watches the store.
  *
- * In a large fleet each change would otherwise be asked for by every daemon, and the store prices and limits calls. A few
- * daemons of each zone follow the store; the others ask one of these. Whoever is asked says how old its last word of the
- * store is; one that is silent, or has not heard of the store for long, is left for another, or for the store.
+ * The store limits and charges calls, so in a large cluster only a few delegates of each zone watch it, and
+ * the other daemons request the changes from a delegate. A response states the age of the delegate's last
+ * response from the store. A delegate that does not answer, or whose information is too old, is replaced by
+ * another one or by the store.
  *
  * @packageDocumentation
  */
@@ -14,39 +16,46 @@
 import { applyDelta } from './value-delta.js';
 import type { CoordinationStore, StoredItem, StoreEvent, WatchAnswer } from './coordination-store.js';
 
-/** Wait for a change at another daemon, and for its answer beyond that, in milliseconds. */
+/**
+ * Time for which a delegate may hold a request open, and additional time allowed for its response, in
+ * milliseconds.
+ */
 const DELEGATE_WAIT_MS = 700;
 const DELEGATE_TIMEOUT_MARGIN_MS = 300;
-/** Longest wait of a watch by a daemon that others follow: bounds how old its word is, in milliseconds. */
+/** Longest watch of a delegate, in milliseconds: bounds the age of the information that it relays. */
 const DELEGATE_MAX_WATCH_MS = 1000;
-/** For how long a daemon that did not serve is left alone, in milliseconds. */
+/** Time for which a delegate is not asked again after a failure, in milliseconds. */
 const DELEGATE_BACKOFF_MS = 3000;
 
-/** How much later a change may be heard of through another daemon than from the store, in milliseconds. */
+/**
+ * Longest additional delay of a change that arrives through a delegate instead of the store, in milliseconds.
+ */
 export const WORST_LAG_MS = MAX_STORE_AGE_MS + DELEGATE_WAIT_MS + DELEGATE_TIMEOUT_MARGIN_MS;
 
-/** What a change feed answers; `isPassedOn`: not by the store itself. */
+/** Response of a change feed. `isPassedOn`: it came from a delegate and not from the store. */
 export type FeedAnswer = WatchAnswer & { readonly isPassedOn: boolean };
 
-/** Reads the store whole, and follows its changes. */
+/** Reads the store and watches its changes. */
 export interface ChangeFeed {
   list(prefix: string): ReturnType<CoordinationStore['list']>;
-  /** Changes of all keys after a revision; waits for one for at most `waitMs` milliseconds. Rejects with StoreError. */
+  /**
+   * Changes of all keys after a revision; if there are none, waits for one for at most `waitMs` milliseconds.
+   * Rejects with `StoreError`.
+   */
   watch(afterRevision: Revision, waitMs: number): Promise<FeedAnswer>;
 }
 
-/** What the feed needs. */
 export interface ChangeFeedOptions {
   readonly store: CoordinationStore;
   readonly ownName: string;
   readonly zone: string;
-  /** The daemons that follow the store for all; `null` when everybody does. */
+  /** The daemons that watch the store for the others; `null` if all daemons watch it. */
   delegates(): readonly DaemonRecord[] | null;
-  /** True when this daemon has to hear from the store itself, whoever else does. */
+  /** True if this daemon has to watch the store itself, whoever the delegates are. */
   mustBeDirect(): boolean;
-  /** An item as this daemon's copy has it, or `null`. */
+  /** An item of this daemon's local copy, or `null`. */
   held(key: string): StoredItem | null;
-  /** Asks another daemon; `null` when it does not answer in time. */
+  /** Requests changes from a delegate; `null` if it does not answer in time. */
   ask(
     record: DaemonRecord,
     afterRevision: Revision,
@@ -58,10 +67,10 @@
   random(): number;
 }
 
-/** Follows the store itself, or through another daemon. */
+/** Watches the store itself or through a delegate. */
 export class DelegatedFeed implements ChangeFeed {
   readonly #backoffUntilMs = new Map<string, number>();
-  /** The daemon that was asked last. */
+  /** Process key of the delegate in use; `null` for the store. */
   #source: string | null = null;
 
   constructor(private readonly options: ChangeFeedOptions) {}
@@ -88,7 +97,9 @@
     return { ...answer, isPassedOn: false };
   }
 
-  /** The daemon to ask, or `null` when the store is to be asked itself. */
+  /**
+   * The delegate to ask, or `null` to watch the store itself. Keeps the current delegate while it is usable.
+   */
   #chooseSource(delegates: readonly DaemonRecord[] | null): DaemonRecord | null {
     const { options } = this;
     if (delegates === null || options.mustBeDirect()) return null;
@@ -108,7 +119,7 @@
     this.options.log('changes_from', { source: source === null ? 'store' : source.name });
   }
 
-  /** What another daemon tells, or `null` when it cannot serve. */
+  /** The response of a delegate, or `null` if it cannot serve the request. */
   async #watchThrough(
     source: DaemonRecord,
     afterRevision: Revision,
@@ -129,7 +140,7 @@
     }
   }
 
-  /** In order: a change may be told as the difference to the one before it. */
+  /** Decodes in order: a change may be encoded as a delta against an earlier change of the same response. */
   async #toEvents(changes: readonly RelayedChange[], era: number): Promise<readonly StoreEvent[]> {
     const events: StoreEvent[] = [];
     const latest = new Map<string, StoreEvent>();
@@ -167,7 +178,7 @@
     }
   }
 
-  /** The newest value, from the store. */
+  /** Reads the newest value from the store; it may be later than the relayed change. */
   async #readFromStore(key: string, revision: Revision): Promise<StoreEvent> {
     const item = await this.options.store.read(key);
     return item ?? { key, revision, value: null };
--- a/src/coordination/change-log.ts
+++ b/src/coordination/change-log.ts
@@ -1,5 +1,5 @@
 /**
- * The latest changes of the store, kept by a daemon that follows it for those who follow through this daemon.
+ * The latest changes of the store, kept by a daemon that watches the store to relay them to other daemons.
  *
  * @packageDocumentation
  */
@@ -8,65 +8,70 @@
 import { isLater, laterOf, NO_REVISION, type Revision } from './revision.js';
 import { diffValues, estimateDeltaBytes, type ValueDelta } from './value-delta.js';
 
-/** Most changes that are kept, and bytes of their values; who asks for older ones reads the store. */
+/**
+ * Largest number of changes kept, and total size of their values in bytes; older ones have to be read from
+ * the store.
+ */
 const MAX_CHANGES = 2000;
 const MAX_BYTES = 1024 * 1024;
 
 /**
- * Largest value that is passed on, in bytes. Links of daemons are narrow: who needs a larger value reads it from the store,
- * whose link is not.
+ * Largest value that is relayed, in bytes. Larger values are read from the store, since links between daemons
+ * have less bandwidth than the link to the store.
  */
 export const MAX_RELAYED_BYTES = 32 * 1024;
 
-/** Values up to this length are passed on whole, in bytes. */
+/** Values up to this size are relayed whole, without delta encoding, in bytes. */
 const DELTA_THRESHOLD_BYTES = 1024;
 
-/** The value of a change as it is passed on. */
+/** The value of a change as it is relayed. */
 export type RelayedValue =
   | { readonly kind: 'value'; readonly value: Buffer }
-  /** The difference to the value that the key had at a revision of the same era. */
+  /** Delta against the value that the key had at the revision `baseNumber` of the same era. */
   | { readonly kind: 'delta'; readonly baseNumber: number; readonly delta: ValueDelta }
   | { readonly kind: 'gone' }
-  /** To be read from the store. */
+  /** Too large to be relayed; the receiver reads it from the store. */
   | { readonly kind: 'large' };
 
-/** A change as it is kept; its difference to the value before is found when somebody asks for it. */
+/** A change in the log. Its delta against the previous value is computed on the first request. */
 interface LoggedChange {
   readonly event: StoreEvent;
   readonly previous: StoredItem | null;
   relayed: RelayedChange | null;
 }
 
-/** A change as it is passed on, with all others of its era. */
+/** A change as it is relayed; all changes of one response belong to the same era. */
 export interface RelayedChange {
   readonly key: string;
-  /** Number of its revision. */
+  /** Number of its revision; the era is that of the response. */
   readonly number: number;
   readonly content: RelayedValue;
 }
 
-/** What the store itself has told of late. */
+/** Recent changes that this daemon received from the store itself. */
 export class ChangeLog {
-  /** Wakes whoever waits for a change, or for the end of the log. */
+  /** Notified of each change, and when the log is restarted or suspended. */
   readonly changed = new ChangeSignal();
   #changes: LoggedChange[] = [];
   #bytes = 0;
-  /** All changes after this revision are kept; `null` while the copy does not come from the store itself. */
+  /**
+   * The log has all changes after this revision; `null` while the local copy is not fed by the store itself.
+   */
   #completeAfter: Revision | null = null;
   #revision = NO_REVISION;
   #confirmedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** Revision up to which changes are known. */
+  /** Revision up to which the changes are known. */
   get revision(): Revision {
     return this.#revision;
   }
 
-  /** Time since the store last answered, in milliseconds. */
+  /** Time since the last response of the store, in milliseconds. */
   ageMs(nowMs: number): number {
     return nowMs - this.#confirmedAtMs;
   }
 
-  /** The store was read whole. */
+  /** Starts an empty log after a full read of the store. */
   restart(revision: Revision, nowMs: number): void {
     this.#clear(revision);
     this.#revision = revision;
@@ -75,9 +80,9 @@
   }
 
   /**
-   * The store has told its changes after `afterRevision`, up to `revision`.
+   * Appends the changes that the store reported after `afterRevision`, up to `revision`.
    *
-   * @param previousItems - the items that the changes replace, in the same order; `null` where there was none
+   * @param previousItems - the items replaced by the changes, in the same order; `null` if there was none
    */
   append(
     afterRevision: Revision,
@@ -111,14 +116,19 @@
     }
   }
 
-  /** The store does not answer, or this daemon follows it through another one. */
+  /**
+   * Suspends the log while the store does not answer, or while this daemon receives changes from a delegate.
+   */
   suspend(): void {
     this.#completeAfter = null;
     this.#confirmedAtMs = Number.NEGATIVE_INFINITY;
     this.changed.notify();
   }
 
-  /** The changes after a revision, or `null` when some of them are not kept, as those between two eras never are. */
+  /**
+   * The changes after a revision, or `null` if the log lacks some of them. Changes across two eras are never
+   * kept.
+   */
   since(revision: Revision): readonly RelayedChange[] | null {
     if (this.#completeAfter === null || isLater(this.#completeAfter, revision)) return null;
     return this.#changes
--- a/src/coordination/change-relay.ts
+++ b/src/coordination/change-relay.ts
@@ -1,5 +1,5 @@
 /**
- * Answers daemons that follow the store through this one.
+ * Serves the changes of the store to daemons that do not watch the store themselves.
  *
  * @packageDocumentation
  */
@@ -7,36 +7,37 @@
 import type { Revision } from './revision.js';
 
 /**
- * What a daemon is told. `forgotten`: changes that it needs are not kept here; `unavailable`: this daemon does not hear from the
- * store itself at present.
+ * Response to a daemon that requests changes. `forgotten`: the log no longer has some of the requested
+ * changes. `unavailable`: this daemon has no recent response of the store, or is in an earlier era than the
+ * requesting daemon.
  */
 export type PassedChanges =
   | {
       readonly kind: 'changes';
       readonly changes: readonly RelayedChange[];
       readonly revision: Revision;
-      /** Time since the store answered this daemon, in milliseconds. */
+      /** Time since the last response of the store to this daemon, in milliseconds. */
       readonly ageMs: number;
     }
   | { readonly kind: 'forgotten' }
   | { readonly kind: 'unavailable' };
 
-/** Age of the store's last answer from which on nothing is passed on, in milliseconds. */
+/** Changes are not relayed if the last response of the store is older than this, in milliseconds. */
 export const MAX_STORE_AGE_MS = 1500;
-/** Longest wait for a change, in milliseconds. */
+/** Longest time for which a request is held open, in milliseconds. */
 const MAX_WAIT_MS = 2000;
 
-/** Passes on what the store has told. */
+/** Relays the changes of a {@link ChangeLog}. */
 export class ChangeRelay {
   constructor(
     private readonly log: ChangeLog,
     private readonly now: () => number,
   ) {}
 
-  /** The changes after a revision; waits for one for at most `waitMs` milliseconds. */
+  /** The changes after a revision; if there are none, waits for one for at most `waitMs` milliseconds. */
   async ask(afterRevision: Revision, waitMs: number): Promise<PassedChanges> {
-    const known = this.#answer(afterRevision);
-    if (known.kind !== 'changes' || known.changes.length > 0) return known;
+    const immediate = this.#answer(afterRevision);
+    if (immediate.kind !== 'changes' || immediate.changes.length > 0) return immediate;
     await this.log.changed.wait(Math.min(waitMs, MAX_WAIT_MS));
     return this.#answer(afterRevision);
   }
@@ -44,7 +45,7 @@
   #answer(afterRevision: Revision): PassedChanges {
     const ageMs = this.log.ageMs(this.now());
     if (ageMs > MAX_STORE_AGE_MS) return { kind: 'unavailable' };
-    // Whoever asks knows of a later era: what is kept here says nothing of it.
+    // The requesting daemon knows a later era, of which this log has no changes.
     if (afterRevision.era > this.log.revision.era) return { kind: 'unavailable' };
     const changes = this.log.since(afterRevision);
     if (changes === null) return { kind: 'forgotten' };
--- a/src/coordination/value-delta.ts
+++ b/src/coordination/value-delta.ts
@@ -1,46 +1,47 @@
 /**
- * The difference between two values of a key. Pure.
+ * Delta encoding between two values of a key. Pure.
  *
- * A configuration is large, and a change touches little of it: one that is passed on whole to all daemons of a zone (27 kB to
- * 14 of them) holds up a link of 7 Mbit/s, and the answers on it, for 0.4 s. Values are divided where objects of JSON end; the
- * parts that the value before had are named by their place there.
+ * A configuration is large and most changes affect a small part of it. Sending the whole value (27 kB) to the
+ * 14 daemons of a zone occupies a link of 7 Mbit/s for 0.4 s and delays the responses on it. Values are split
+ * after each `}`, where JSON objects end; parts that also occur in the base value are encoded as references
+ * to their index there.
  *
  * @packageDocumentation
  */
 
-/** Parts that both values have: how many, from which place of the value before. */
+/** A run of consecutive parts of the base value: index of the first one, and their number. */
 export interface CopiedParts {
   readonly from: number;
   readonly count: number;
 }
 
-/** The parts of a value in order: text, or parts of the value before. */
+/** The encoded value, in order: literal text (one character a byte) or parts copied from the base value. */
 export type ValueDelta = readonly (string | CopiedParts)[];
 
 const PART_END = '}';
 
-/** What makes the value before into this one. */
+/** Encodes `target` as a delta against `base`. */
 export function diffValues(base: Buffer, target: Buffer): ValueDelta {
   const indexOfPart = new Map<string, number>();
-  for (const [place, part] of splitIntoParts(base).entries())
-    if (!indexOfPart.has(part)) indexOfPart.set(part, place);
+  for (const [index, part] of splitIntoParts(base).entries())
+    if (!indexOfPart.has(part)) indexOfPart.set(part, index);
   const delta: (string | CopiedParts)[] = [];
   for (const part of splitIntoParts(target)) {
-    const place = indexOfPart.get(part);
+    const index = indexOfPart.get(part);
     const last = delta.at(-1);
-    if (place === undefined) {
+    if (index === undefined) {
       if (typeof last === 'string') delta[delta.length - 1] = last + part;
       else delta.push(part);
-    } else if (typeof last === 'object' && last.from + last.count === place) {
+    } else if (typeof last === 'object' && last.from + last.count === index) {
       delta[delta.length - 1] = { from: last.from, count: last.count + 1 };
     } else {
-      delta.push({ from: place, count: 1 });
+      delta.push({ from: index, count: 1 });
     }
   }
   return delta;
 }
 
-/** The value that a difference leads to. */
+/** Decodes a delta against the base value from which it was made. */
 export function applyDelta(base: Buffer, delta: ValueDelta): Buffer {
   const parts = splitIntoParts(base);
   const text = delta
@@ -51,7 +52,7 @@
   return Buffer.from(text, 'latin1');
 }
 
-/** About how many bytes a difference takes. */
+/** Approximate encoded size of a delta, in bytes. */
 export function estimateDeltaBytes(delta: ValueDelta): number {
   return delta.reduce(
     (sum, piece) => sum + (typeof piece === 'string' ? piece.length : COPIED_PARTS_BYTES),
@@ -59,10 +60,13 @@
   );
 }
 
-/** About what the name of copied parts takes, in bytes. */
+/** Approximate encoded size of a reference to copied parts, in bytes. */
 const COPIED_PARTS_BYTES = 8;
 
-/** One character a byte, so that any value can be divided. */
+/**
+ * Splits a value after each `}`. Decodes it as Latin-1, one character a byte, so that any bytes survive the
+ * round trip.
+ */
 function splitIntoParts(value: Buffer): string[] {
   const text = value.toString('latin1');
   const parts: string[] = [];
