--- a/src/coordination/watched-store.test.ts
+++ b/src/coordination/watched-store.test.ts
@@ -1,5 +1,5 @@
 /**
- * The copy of the store, against a store in memory.
+ * The local copy of the store, tested against an in-memory store.
  *
  * @packageDocumentation
  */
@@ -14,15 +14,15 @@
 async function until(condition: () => boolean): Promise<void> {
   const deadlineMs = performance.now() + 2000;
   while (!condition()) {
-    assert.ok(performance.now() < deadlineMs, 'it has not come about');
+    assert.ok(performance.now() < deadlineMs, 'the condition did not become true within 2 s');
     await new Promise((resolve) => setTimeout(resolve, 1));
   }
 }
 
-describe('the copy of the store', () => {
-  function follow(store: MemoryStore): { watched: WatchedStore; told: string[]; rests: number[] } {
-    const told: string[] = [];
-    const rests: number[] = [];
+describe('the local copy of the store', () => {
+  function startCopy(store: MemoryStore): { watched: WatchedStore; reported: string[]; pauses: number[] } {
+    const reported: string[] = [];
+    const pauses: number[] = [];
     const watched = new WatchedStore({
       feed: {
         list: () => store.list(),
@@ -33,22 +33,22 @@
       now: () => 0,
       random: () => 0.5,
       rest: (ms) => {
-        rests.push(ms);
+        pauses.push(ms);
         return Promise.resolve();
       },
     });
     watched.subscribe('a/', {
-      changed: ({ key, revision }) => told.push(`${key}@${revision.number}`),
-      removed: (key) => told.push(`-${key}`),
-      settled: () => told.push('settled'),
-      availability: (isAvailable) => told.push(isAvailable ? 'up' : 'down'),
+      changed: ({ key, revision }) => reported.push(`${key}@${revision.number}`),
+      removed: (key) => reported.push(`-${key}`),
+      settled: () => reported.push('settled'),
+      availability: (isAvailable) => reported.push(isAvailable ? 'up' : 'down'),
     });
     void watched.run();
-    return { watched, told, rests };
+    return { watched, reported, pauses };
   }
   const value = Buffer.from('x');
 
-  test('tells what is there, then what changes, never an older revision', async () => {
+  test('reports the items, then their changes, and never an older revision', async () => {
     const store = new MemoryStore();
     store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
     store.items.set('b/1', { key: 'b/1', value, revision: at(5), leaseId: 0 });
@@ -56,55 +56,55 @@
       { kind: 'events', events: [{ key: 'a/1', value, revision: at(4) }], revision: at(6) },
       { kind: 'events', events: [{ key: 'a/1', value: null, revision: at(7) }], revision: at(7) },
     ];
-    const { watched, told } = follow(store);
+    const { watched, reported } = startCopy(store);
     await settle();
     watched.stop();
-    assert.deepEqual(told, ['a/1@5', 'settled', 'settled', '-a/1', 'settled']);
+    assert.deepEqual(reported, ['a/1@5', 'settled', 'settled', '-a/1', 'settled']);
   });
 
-  test('rests after changes, so that those that follow come in one answer, and not without', async () => {
+  test('pauses after a response with changes, so that the next ones are batched, and not after an empty one', async () => {
     const store = new MemoryStore();
     store.watchAnswers = [
       { kind: 'events', events: [{ key: 'a/1', value, revision: at(4) }], revision: at(4) },
       { kind: 'events', events: [], revision: at(5) },
       { kind: 'events', events: [{ key: 'b/1', value, revision: at(6) }], revision: at(6) },
     ];
-    const { watched, rests } = follow(store);
+    const { watched, pauses } = startCopy(store);
     await settle();
     watched.stop();
-    assert.deepEqual(rests, [50, 50]);
+    assert.deepEqual(pauses, [50, 50]);
   });
 
-  test('rests longer the more daemons follow the store, up to a limit', async () => {
+  test('pauses longer the more daemons watch the store, up to a limit', async () => {
     const store = new MemoryStore();
     store.watchAnswers = [67, 900].map((revision) => ({
       kind: 'events',
       events: [{ key: 'a/1', value, revision: at(revision) }],
       revision: at(revision),
     }));
-    const { watched, rests } = follow(store);
+    const { watched, pauses } = startCopy(store);
     watched.watchers = 30;
     await settle();
     watched.stop();
-    assert.deepEqual(rests.slice(0, 1), [108]);
+    assert.deepEqual(pauses.slice(0, 1), [108]);
     watched.watchers = 900;
-    assert.ok(rests.every((ms) => ms <= 180));
+    assert.ok(pauses.every((ms) => ms <= 180));
   });
 
-  test('reads everything again when the store has forgotten its history', async () => {
+  test('reads the whole store again when its history was compacted', async () => {
     const store = new MemoryStore();
     store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
     store.watchAnswers = [{ kind: 'compacted' }];
-    const { watched, told } = follow(store);
+    const { watched, reported } = startCopy(store);
     store.items.delete('a/1');
     store.items.set('a/2', { key: 'a/2', value, revision: at(9), leaseId: 0 });
     await settle();
     watched.stop();
     assert.ok(store.lists >= 2);
-    assert.ok(told.includes('a/2@9'));
+    assert.ok(reported.includes('a/2@9'));
   });
 
-  /** A copy of a store that fails; its pauses, and how many it waits out before it stands still. */
+  /** Runs a copy against a store that fails, and returns its first 12 pauses. */
   function pausesOf(hasRead: boolean): Promise<readonly number[]> {
     const pauses: number[] = [];
     return new Promise((resolve) => {
@@ -130,16 +130,16 @@
     });
   }
 
-  test('waits longer with each refusal, but not so long before the first read: the daemon cannot serve yet', async () => {
+  test('backs off exponentially, with a lower limit before the first read, when the daemon cannot serve yet', async () => {
     const unread = await pausesOf(false);
     assert.deepEqual(unread.slice(0, 3), [80, 160, 320]);
     assert.equal(Math.max(...unread), 400);
     assert.equal(Math.max(...(await pausesOf(true))), 1000);
   });
 
-  test('is asked for once, ahead of its use, also when that fails', async () => {
+  test('is read once if it was prefetched', async () => {
     const store = new MemoryStore();
-    const { watched } = follow(store);
+    const { watched } = startCopy(store);
     watched.stop();
     const early = new MemoryStore();
     const prefetched = new WatchedStore({
@@ -157,11 +157,11 @@
     prefetched.stop();
   });
 
-  test('goes on when listeners throw: the others are told, and the store is not called away', async () => {
+  test('goes on when listeners throw: the others are notified, and the store stays available', async () => {
     const lines: string[] = [];
-    const told: string[] = [];
+    const reported: string[] = [];
     const fail = (): never => {
-      throw new Error('hush');
+      throw new Error('secret');
     };
     const store = new MemoryStore();
     store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
@@ -186,26 +186,26 @@
     });
     watched.subscribe('a/', { changed: fail, removed: fail, settled: fail, availability: fail });
     watched.subscribe('a/', {
-      changed: ({ key, revision }) => told.push(`${key}@${revision.number}`),
-      removed: (key) => told.push(`-${key}`),
-      settled: () => told.push('settled'),
-      availability: (isAvailable) => told.push(isAvailable ? 'up' : 'down'),
+      changed: ({ key, revision }) => reported.push(`${key}@${revision.number}`),
+      removed: (key) => reported.push(`-${key}`),
+      settled: () => reported.push('settled'),
+      availability: (isAvailable) => reported.push(isAvailable ? 'up' : 'down'),
     });
     void watched.run();
     await settle();
-    assert.deepEqual(told.slice(0, 2), ['a/1@5', 'settled']);
-    assert.deepEqual(told.slice(2, 5), ['a/2@6', '-a/1', 'settled']);
-    assert.deepEqual(told.slice(5), ['a/2@7', 'settled', 'a/2@8', 'settled']);
+    assert.deepEqual(reported.slice(0, 2), ['a/1@5', 'settled']);
+    assert.deepEqual(reported.slice(2, 5), ['a/2@6', '-a/1', 'settled']);
+    assert.deepEqual(reported.slice(5), ['a/2@7', 'settled', 'a/2@8', 'settled']);
     watched.offer({ key: 'a/3', value, revision: at(9) });
-    assert.equal(told.at(-1), 'a/3@9');
+    assert.equal(reported.at(-1), 'a/3@9');
     assert.ok(lines.length > 0 && lines.length <= 6, lines.join('\n'));
-    assert.ok(lines.every((line) => line.startsWith('listener_failed') && !line.includes('hush')));
+    assert.ok(lines.every((line) => line.startsWith('listener_failed') && !line.includes('secret')));
     watched.stop();
   });
 
-  test('tells all listeners of a store that is away and back, also when the first throws', async () => {
+  test('notifies all listeners of an outage and its end, also when the first one throws', async () => {
     const store = new MemoryStore();
-    const told: boolean[] = [];
+    const reported: boolean[] = [];
     let isDown = false;
     const watched = new WatchedStore({
       feed: {
@@ -225,26 +225,27 @@
     watched.subscribe('', {
       ...quiet,
       availability: () => {
-        throw new Error('hush');
+        throw new Error('secret');
       },
     });
-    watched.subscribe('', { ...quiet, availability: (isAvailable) => told.push(isAvailable) });
+    watched.subscribe('', { ...quiet, availability: (isAvailable) => reported.push(isAvailable) });
     const ended = watched.run().catch((error: unknown) => error);
     await settle();
     isDown = true;
-    await until(() => told.length === 1);
+    await until(() => reported.length === 1);
     isDown = false;
-    await until(() => told.length === 2);
-    assert.deepEqual(told, [false, true]);
+    await until(() => reported.length === 2);
+    assert.deepEqual(reported, [false, true]);
     watched.stop();
     assert.equal(await ended, undefined);
   });
 
   /**
-   * A store that came back from a copy told changes under revisions below those known, and the copy here kept what it had.
-   * Evidence: `item_not_newer` for each change after the return, in store-era.test.ts.
+   * Guards against a fault after a restore of the store from a backup: revision numbers went back below those
+   * known, and the local copy rejected all changes as older. It showed as `item_not_newer` for each change
+   * after the restore, in store-era.test.ts.
    */
-  test('takes what the store holds after it came back, whatever the numbers, and says that it was away', async () => {
+  test('adopts the items of a restored store, whatever their revision numbers, and reports an outage', async () => {
     const store = new MemoryStore();
     const put = (key: string, era: number, number: number): void =>
       void store.items.set(key, { key, value, revision: { era, number }, leaseId: 0 });
@@ -252,28 +253,28 @@
     put('a/2', 0, 51);
     store.number = 51;
     store.era.hear(0);
-    const { watched, told } = follow(store);
-    await until(() => told.includes('a/1@50'));
-    told.length = 0;
+    const { watched, reported } = startCopy(store);
+    await until(() => reported.includes('a/1@50'));
+    reported.length = 0;
     store.items.clear();
     put('a/1', 1, 9);
     store.number = 9;
     store.era.hear(1);
-    await until(() => told.includes('up'));
-    assert.deepEqual(told.slice(0, 4), ['down', '-a/2', 'a/1@9', 'settled']);
+    await until(() => reported.includes('up'));
+    assert.deepEqual(reported.slice(0, 4), ['down', '-a/2', 'a/1@9', 'settled']);
     watched.stop();
   });
 
-  test('reads again after a return that was heard of while nothing was watched', async () => {
+  test('reads the store again after a restore that was detected while no watch was in progress', async () => {
     const store = new MemoryStore();
     store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
-    const { watched, told } = follow(store);
+    const { watched, reported } = startCopy(store);
     store.watchAnswers = [
       { kind: 'events', events: [{ key: 'a/1', value, revision: at(6) }], revision: at(6) },
     ];
     store.era.hear(1);
     await until(() => store.lists >= 2);
     watched.stop();
-    assert.ok(told.includes('down'));
+    assert.ok(reported.includes('down'));
   });
 });
--- a/src/coordination/watched-store.ts
+++ b/src/coordination/watched-store.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a copy of the store's keys: reads them once, then follows their changes, by one watch for all who want
- * to know.
+ * Maintains a local copy of all keys of the store: reads them once, then applies their changes from a single
+ * watch that serves all listeners.
  *
  * @packageDocumentation
  */
@@ -12,80 +12,90 @@
 import { formatRevision, isLater, isSameRevision, laterOf, NO_REVISION, type Revision } from './revision.js';
 import type { StoreEra } from './store-era.js';
 
-/** Who is told. One that throws is told of the next change all the same, and keeps nobody else from being told. */
+/**
+ * Listener for the keys under a prefix. If it throws, other listeners are still notified, and so is it of the
+ * next change.
+ */
 export interface WatchedPrefixListener {
-  /** A key has a value; also told for every key after each full read. */
+  /** A key was created or changed. Also called after a full read, for each key that differs from the copy. */
   changed(item: StoredItem): void;
-  /** A key is gone. */
+  /** A key was deleted. */
   removed(key: string): void;
-  /** All changes of one answer of the store have been told: the copy is as of one revision. */
+  /** Called after all changes of one response, when the copy is consistent as of one revision. */
   settled(): void;
   /** The store has stopped answering the watch, or answers again. */
   availability(isAvailable: boolean): void;
 }
 
-/** Longest wait of one watch, in milliseconds: bounds how long a cut connection goes unnoticed. */
+/** Longest wait of one watch, in milliseconds: bounds the time until a broken connection is detected. */
 const MAX_WATCH_MS = 2500;
 
-/** Wait of the first watch after a failure, in milliseconds: shows soon that the store answers again. */
+/**
+ * Wait of the first watch after a failure, in milliseconds: short, to detect at once that the store answers
+ * again.
+ */
 const WATCH_AFTER_FAILURE_MS = 1;
 
-/** Pause after a failure, in milliseconds: doubled from the first to the longest with each failure in a row. */
+/**
+ * Base of the backoff after failures, in milliseconds: doubled with each consecutive failure, up to the
+ * maximum.
+ */
 const MIN_BACKOFF_MS = 40;
 /**
- * Longest pause of a daemon that has read nothing yet, and cannot serve, and of one that goes on from memory: calls that the
- * store turns away are priced like others.
+ * Longest backoff of a daemon that has not loaded the store yet and cannot serve, and of one that serves from
+ * its local copy, in milliseconds. The latter is longer because the store charges rejected calls like others.
  */
 const MAX_BACKOFF_UNLOADED_MS = 400;
 const MAX_BACKOFF_MS = 1000;
-/** The latter grows with the number of daemons, in milliseconds for each, up to twice its length. */
+/** Increase of `MAX_BACKOFF_MS` for each further daemon, in milliseconds; at most doubles it. */
 const BACKOFF_MS_PER_WATCHER = 10;
 
 /**
- * Rest after an answer with changes, in milliseconds: a change seldom comes alone, and those that follow it are told
- * by one answer. The store prices every call, and each change is told to every daemon: so the rest grows with their
- * number, up to a limit: daemons are not to differ for long in what configuration they follow. What another daemon passes
- * on has rested there.
+ * Pause after a response with changes, in milliseconds. Changes tend to come in groups, and the next response
+ * then returns the rest of the group at once. The store charges every call and reports each change to every
+ * daemon, so the pause grows with the number of daemons. It is limited because daemons must not use different
+ * configurations for long. There is no pause after relayed changes: the delegate has already batched them.
  */
 const MIN_BATCHING_MS = 50;
 const BATCHING_MS_PER_WATCHER = 2;
 const MAX_BATCHING_MS = 180;
 
-/** Time for each daemon within which all read the store whole again, in milliseconds: a return concerns all of them at once. */
+/**
+ * Daemons spread full reads after the first over this time for each daemon, in milliseconds: a restore
+ * affects all of them at once.
+ */
 const RELOAD_SPREAD_MS_PER_WATCHER = 5;
 
-/** Characters of a key that a line shows. */
+/** A longer key is truncated in the log, in characters. */
 const MAX_LOGGED_KEY_LENGTH = 100;
 
-/** Where changes are followed from. */
 const ALL_KEYS_PREFIX = '';
 
-/** What a copy needs. */
 export interface WatchedStoreOptions {
   readonly feed: ChangeFeed;
-  /** The era of the store, which any of its answers may tell. */
+  /** The era of the store, updated by any of its responses. */
   readonly era: StoreEra;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
-  /** An item was not taken: a later one is held. */
+  /** An item was rejected because the copy has the same or a later revision of its key. */
   itemNotNewer?(): void;
   now(): number;
   random(): number;
-  /** Waits, in milliseconds. */
+  /** Waits for `ms` milliseconds; replaced in tests. */
   rest?(ms: number): Promise<void>;
 }
 
-/** A copy of the store, followed by one watch for all who listen. */
+/** A local copy of the store, kept up to date by a single watch. */
 export class WatchedStore {
-  /** What the store has told of late, for daemons that follow it through this one. */
+  /** Recent changes received from the store, to be relayed to other daemons. */
   readonly changes = new ChangeLog();
-  /** How many follow the store, this one included. */
+  /** Number of daemons that watch the store, including this one. */
   watchers = 1;
   readonly #items = new Map<string, StoredItem>();
   readonly #listeners: { readonly prefix: string; readonly listener: WatchedPrefixListener }[] = [];
   readonly #faults: FaultLog;
   #prefetched: ReturnType<ChangeFeed['list']> | null = null;
   #revision: Revision | null = null;
-  /** Ends the present watch: the copy has to be read again. */
+  /** Abandons the watch in progress, after which the store is read again. */
   #abandonWatch: () => void = () => undefined;
   #isStopped = false;
   #isAvailable = true;
@@ -96,29 +106,28 @@
     options.era.onRise(() => this.#abandonWatch());
   }
 
-  /** Tells a listener of the keys under a prefix; to be called before {@link WatchedStore.run}. */
+  /** Registers a listener for the keys under a prefix; to be called before {@link WatchedStore.run}. */
   subscribe(prefix: string, listener: WatchedPrefixListener): void {
     this.#listeners.push({ prefix, listener });
   }
 
-  /** Revision as of which the copy is; {@link NO_REVISION} before it is loaded. */
+  /** Revision of the copy; {@link NO_REVISION} before it is loaded. */
   get revision(): Revision {
     return this.#revision ?? NO_REVISION;
   }
 
-  /** The copy. */
   get items(): ReadonlyMap<string, StoredItem> {
     return this.#items;
   }
 
-  /** Asks for the keys ahead of {@link WatchedStore.run}, while the process is still getting ready. */
+  /** Starts reading the keys before {@link WatchedStore.run}, while the process is still starting up. */
   prefetch(): void {
     this.#prefetched = this.options.feed.list(ALL_KEYS_PREFIX);
-    // Whoever runs the copy hears of a failure; nobody may do so.
+    // `run` handles a failure; if it is never called, the rejection must not be reported as unhandled.
     this.#prefetched.catch(() => undefined);
   }
 
-  /** Follows the keys until {@link WatchedStore.stop}. */
+  /** Loads and watches the keys until {@link WatchedStore.stop}. */
   async run(): Promise<void> {
     let mustLoad = true;
     while (!this.#isStopped) {
@@ -132,17 +141,19 @@
     }
   }
 
-  /** Takes an item that was heard of by another way; an older one than the copy's changes nothing. */
+  /** Adds an item that was received by other means; ignored unless it is later than the item of the copy. */
   offer(item: StoredItem): void {
     this.#put(item);
   }
 
-  /** Stops following. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** Reads the store; again, where it was read before: all daemons may have to then, and do so one after the other. */
+  /**
+   * Reads the store. Later reads are delayed at random, since all daemons may have to read it again at the
+   * same time.
+   */
   async #loadStaggered(): Promise<void> {
     const { rest = delay, random } = this.options;
     if (this.#revision !== null) await rest(random() * RELOAD_SPREAD_MS_PER_WATCHER * this.watchers);
@@ -153,7 +164,8 @@
     const listing = this.#prefetched ?? this.options.feed.list(ALL_KEYS_PREFIX);
     this.#prefetched = null;
     const { items, revision } = await listing;
-    // What the copy of the store lacks is not gone: listeners are to take it as the first word after an outage.
+    // Keys that a restored store lacks need not have been deleted: report an outage first, so that listeners
+    // treat the listing like the first one after an outage.
     if (this.#revision !== null) this.#recordReload(this.#revision, revision, items.length);
     const present = new Set(items.map((item) => item.key));
     for (const key of [...this.#items.keys()]) if (!present.has(key)) this.#remove(key, revision);
@@ -166,14 +178,14 @@
 
   #recordReload(before: Revision, revision: Revision, itemCount: number): void {
     this.options.log('store_read', { revision: formatRevision(revision), items: itemCount });
-    if (revision.era > before.era) this.#recordFailure('came back from a copy');
+    if (revision.era > before.era) this.#recordFailure('restored from a backup');
   }
 
-  /** One watch; false when everything has to be read again. */
+  /** Performs one watch; false if the whole store has to be read again. */
   async #follow(): Promise<boolean> {
     const waitMs = this.#failures > 0 ? WATCH_AFTER_FAILURE_MS : MAX_WATCH_MS;
     const afterRevision = this.revision;
-    // The rise may have been heard of while nothing was watched, and a daemon that passes changes on may not know of it yet.
+    // The era may have increased while no watch was in progress, and a delegate may not know of it yet.
     if (afterRevision.era < this.options.era.current) return false;
     const answer = await this.#watch(afterRevision, waitMs);
     if (answer.kind === 'compacted') return false;
@@ -193,10 +205,13 @@
     return true;
   }
 
-  /** A watch that waits while the store comes back may be told of it last. */
+  /**
+   * Watches until the response or an increase of the era: a watch that waits during a restore may be the last
+   * to report it.
+   */
   #watch(afterRevision: Revision, waitMs: number): Promise<FeedAnswer> {
     const watching = this.options.feed.watch(afterRevision, waitMs);
-    // Nobody hears of a failure after the watch was given up.
+    // A failure after the watch was abandoned must not be reported as an unhandled rejection.
     watching.catch(() => undefined);
     const abandoned = new Promise<FeedAnswer>((resolve) => {
       this.#abandonWatch = () => resolve({ kind: 'compacted', isPassedOn: false });
@@ -227,7 +242,10 @@
       if (item.key.startsWith(prefix)) this.#notify(prefix, 'changed', () => listener.changed(item));
   }
 
-  /** An item that differs from the one held is not taken for its revision alone: nobody else would tell. */
+  /**
+   * Reports an item that is rejected only because of its revision though it differs from the copy: this would
+   * otherwise go unnoticed.
+   */
   #reportNotNewer(known: StoredItem, { key, value, revision }: StoredItem): void {
     if (isSameRevision(known.revision, revision) && known.value.equals(value)) return;
     this.options.itemNotNewer?.();
@@ -256,10 +274,10 @@
       this.#notify(prefix, 'availability', () => listener.availability(this.#isAvailable));
   }
 
-  /** A fault of a listener is not one of the store. */
-  #notify(prefix: string, callback: keyof WatchedPrefixListener, notify: () => void): void {
+  /** Calls a listener. Its exceptions are logged and not treated as a failure of the store. */
+  #notify(prefix: string, callback: keyof WatchedPrefixListener, invoke: () => void): void {
     try {
-      notify();
+      invoke();
     } catch (error) {
       this.#faults.tell('listener_failed', `${prefix} ${callback}`, nameFault(error), {
         prefix,
