--- a/src/coordination/duty-record.ts
+++ b/src/coordination/duty-record.ts
@@ -1,10 +1,12 @@
 /**
- * The record of the promotion duty in the store, and how long a former holder may still trust it. Pure.
+ * The record of the promotion duty in the store, and the time for which a former holder may still rely on it.
+ * Pure.
  *
- * The holder looks at its record with each renewal of its lease and trusts it for no longer than the lease from there.
- * A record that is gone proves little: a store may take keys away while the holder is cut off from it. So whoever takes
- * the duty waits for a lease time from when it saw the record vanish; unless the holder has said that it lets go, or its
- * process has ended.
+ * The promotion duty is the exclusive right to promote members. The holder reads its record with each renewal
+ * of its lease and relies on it for at most the duration of the lease from then on. A deleted record does not
+ * prove that the holder has stopped: the store may delete keys while the holder is disconnected from it. A
+ * new holder therefore waits for the duration of a lease after it observed the deletion, unless the last
+ * holder has released the duty or its process has ended.
  *
  * @packageDocumentation
  */
@@ -14,19 +16,23 @@
 import type { LeaseTimes } from './store-lease.js';
 import { amount, count, readJson, readShape, text, unreadable, type Reading } from './stored-json.js';
 
-/** Times of the lease under which the duty is held. */
+/** Times of the lease to which the record of the duty is attached. */
 export const DUTY_LEASE: LeaseTimes = { lengthMs: 1500, safetyMs: 200, renewalMs: 600 };
 
 /**
- * Time after a record has vanished without a word from which a new holder may act, in milliseconds: the last one relies on
- * its record for less than the lease, and what it has sent arrives a little later.
+ * Time from the deletion of a record, without a release, until a new holder may act, in milliseconds. The
+ * last holder relies on its record for less than the lease; the rest of the time allows for messages that it
+ * has sent and that are still in transit.
  */
 export const TAKEOVER_WAIT_MS = 1700;
 
-/** Digits of a fence at most: more are no number that counts exactly. */
+/** Longest fence, in digits; larger numbers are not exact. */
 const MAX_FENCE_DIGITS = 16;
 
-/** Era of the store in which the record was written: one of an earlier era came back with a copy, and says nothing of the present. */
+/**
+ * Era of the store in which the record was written. A record of an earlier era was restored from a backup and
+ * is not current.
+ */
 const eraSchema = z._default(count, 0);
 
 const heldSchema = z.object({
@@ -34,30 +40,37 @@
   holder: text,
   life: text,
   fence: count,
-  /** Lease under which the record stands: one of an earlier lease of the same daemon gives it nothing. */
+  /**
+   * Lease to which the record is attached. A record of an earlier lease of the same daemon does not make it
+   * the holder.
+   */
   leaseId: count,
-  /** Time from the writing until the holder may act, in milliseconds: an earlier one may still do so. */
+  /**
+   * Time from the writing of the record until the holder may act, in milliseconds; an earlier holder may act
+   * until then.
+   */
   actsInMs: amount,
   era: eraSchema,
 });
 const releasedSchema = z.object({
   state: z.literal('released'),
   fence: count,
-  /** Time from the writing until another may act, in milliseconds: whoever let go may not have acted yet itself. */
+  /**
+   * Time from the writing of the record until a new holder may act, in milliseconds: the holder that released
+   * the duty may still have been waiting for an earlier one.
+   */
   actsInMs: z._default(amount, 0),
   era: eraSchema,
 });
 const recordSchema = z.discriminatedUnion('state', [heldSchema, releasedSchema]);
 
-/** What the record says. */
 export type DutyRecord = Readonly<z.infer<typeof heldSchema>> | Readonly<z.infer<typeof releasedSchema>>;
 
-/** Reads a record. */
 export function readDutyRecord(value: Buffer): Reading<DutyRecord> {
   return readJson(value, recordSchema);
 }
 
-/** Reads a fence: a whole number in decimal digits. */
+/** Reads a fence, an integer in decimal digits. */
 export function readFence(value: Buffer): Reading<number> {
   const digits = value.length <= MAX_FENCE_DIGITS ? value.toString('latin1') : '';
   const reading = readShape(/^\d+$/.test(digits) ? Number(digits) : null, count);
@@ -65,23 +78,27 @@
 }
 
 /**
- * Fences that one era of the store can give out: the first one of an era is above all of the eras before it, though the store has
- * forgotten the last of those. Fences of an era without so many holders rise by themselves.
+ * Number of fences reserved for each era of the store. The fences of an era thereby exceed those of all
+ * earlier eras, though the store has lost the last of them, as long as each era uses fewer fences than this.
+ * Within an era, fences increase in any case.
  */
 const FENCES_PER_ERA = 1_000_000;
 
-/** Below all fences of an era, and above those of the eras before it. */
+/**
+ * Lower bound of the fences of an era: less than each of them, and not less than the fences of earlier eras.
+ */
 function baseFenceOf(era: number): number {
   return era * FENCES_PER_ERA;
 }
 
 /**
- * The fence of the next holder: above every earlier one, also where the last cannot be read or is lost. Each fence is one more than
- * the first of its era, some earlier fence, or that first and some earlier revision, and is written at a later revision: so within
- * its era none is above the revision of its item.
+ * The fence of the next holder: greater than every earlier one, also if the last fence cannot be read or is
+ * lost. Each fence is one more than the base of its era, than an earlier fence, or than the sum of that base
+ * and an earlier revision number, and it is written at a later revision. So within an era no fence exceeds
+ * the base plus the revision number of its item, and that sum takes the place of a fence that cannot be read.
  *
- * @param item - the item of the fence, or `null` when the duty was never held
- * @param record - the record of the duty, or `null` when there is none that can be read
+ * @param item - the item of the fence, or `null` if the duty was never held
+ * @param record - the record of the duty, or `null` if there is none that can be read
  * @param era - the era of the store
  */
 export function nextFence(item: StoredItem | null, record: DutyRecord | null, era: number): number {
@@ -91,69 +108,75 @@
   return Math.max(base, last, record?.fence ?? 0) + 1;
 }
 
-/** Writes a record. */
 export function formatDutyRecord(record: DutyRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
 
-/** A holder of the duty. */
+/** A holder of the duty: name of the daemon, and identity of its process. */
 export interface DutyHolder {
   readonly name: string;
   readonly life: string;
 }
 
-/** What a daemon sees of the duty in its copy of the store. */
+/** The state of the duty in a daemon's local copy of the store. */
 export interface DutySight {
   /** Era of the store. */
   readonly era: number;
-  /** `null` when there is none that can be read. */
+  /** `null` if there is none that can be read. */
   readonly record: DutyRecord | null;
-  /** Revision of the record, {@link NO_REVISION} for none. */
+  /** Revision of the record, {@link NO_REVISION} if there is none. */
   readonly revision: Revision;
-  /** The last fence, 0 when the duty was never held; `null` where it cannot be read. */
+  /** The last fence, 0 if the duty was never held, `null` if it cannot be read. */
   readonly fence: number | null;
 }
 
-/** The record, where it was written in the present era. */
+/** The record if it was written in the current era, otherwise `null`. */
 export function presentRecord({ era, record }: Pick<DutySight, 'era' | 'record'>): DutyRecord | null {
   return record?.era === era ? record : null;
 }
 
-/** What one daemon has seen of holders of the duty. Monotonic times, in milliseconds. */
+/** What one daemon has observed of the holders of the duty. Times are monotonic, in milliseconds. */
 export class DutyHistory {
-  /** Era of the last look; `null` before the first. */
+  /** Era of the last observation; `null` before the first. */
   #era: number | null = null;
   #revision = NO_REVISION;
   #fence: number | null = 0;
   #holder: DutyHolder | null = null;
   #holderActsFromMs = Number.NEGATIVE_INFINITY;
   #vanishedAtMs = Number.NEGATIVE_INFINITY;
-  /** When an era was first seen in which nobody had held the duty; minus infinity for others. */
+  /**
+   * When the current era was first observed, if the duty had been held before but not yet in this era;
+   * otherwise minus infinity.
+   */
   #newEraSeenAtMs = Number.NEGATIVE_INFINITY;
 
-  /** The last holder that was seen and has not let go, or `null`. */
+  /** The last holder observed, or `null` if it has released the duty or is not known. */
   get holder(): DutyHolder | null {
     return this.#holder;
   }
 
-  /** Time from which the last holder acted or would have, which it may owe to an earlier one. */
+  /** Time from which the last holder was allowed to act; it may have had to wait for an earlier one. */
   get holderActsFromMs(): number {
     return this.#holderActsFromMs;
   }
 
-  /** Time since an era was first seen that had just begun, as far as the store tells, in milliseconds. */
+  /**
+   * Time since an era was first observed in which the duty had not been held yet, in milliseconds; infinite
+   * if there was none.
+   */
   sinceNewEraMs(nowMs: number): number {
     return nowMs - this.#newEraSeenAtMs;
   }
 
-  /** Takes what the store has now. */
+  /** Records the current state of the store. */
   observe(observation: DutySight, nowMs: number): void {
     if (this.#era !== observation.era) this.#beginEra(observation, nowMs);
     const record = presentRecord(observation);
     const isNextFence = observation.fence !== this.#fence;
     this.#fence = observation.fence;
     if (record === null) {
-      // Gone without a word: the holder may still act. One whose record has come and gone between two looks has left its fence.
+      // Deleted without a release, so the holder may still act. If a record appeared and was deleted between
+      // two observations, only the changed fence shows that there was another holder.
       if (isNextFence) this.#holder = null;
       if (isNextFence || !isSameRevision(this.#revision, NO_REVISION)) this.#vanishedAtMs = nowMs;
       this.#revision = NO_REVISION;
@@ -167,8 +190,8 @@
   }
 
   /**
-   * The first look at an era. Unless a record of it stands, somebody may still act: the last holder of the era before, whose record
-   * the copy may lack, or one that was never seen here.
+   * First observation of an era. Without a record of this era, an unknown holder may still act: the last one
+   * of the earlier era, whose record the backup may lack, or one that this daemon never observed.
    */
   #beginEra(observation: DutySight, nowMs: number): void {
     const wasNeverHeld = this.#era === null && observation.record === null && observation.fence === 0;
@@ -178,15 +201,16 @@
     this.#holder = null;
     this.#holderActsFromMs = Number.NEGATIVE_INFINITY;
     this.#vanishedAtMs = wasNeverHeld ? Number.NEGATIVE_INFINITY : nowMs;
-    const wasHeldInIt = observation.fence !== null && observation.fence > baseFenceOf(observation.era);
-    const isNew = !wasNeverHeld && !wasHeldInIt;
+    const wasHeldInEra = observation.fence !== null && observation.fence > baseFenceOf(observation.era);
+    const isNew = !wasNeverHeld && !wasHeldInEra;
     this.#newEraSeenAtMs = isNew ? nowMs : Number.NEGATIVE_INFINITY;
   }
 
   /**
    * Time from which a new holder may act.
    *
-   * @param endedLife - life of a holder that is known to act no more: an earlier process of the new holder, or itself
+   * @param endedLife - identity of a holder process that is known not to act any more: an earlier process of
+   * the new holder's daemon, or the new holder itself
    */
   freeFromMs(endedLife: string | null): number {
     if (this.#holder !== null && this.#holder.life === endedLife) return this.#holderActsFromMs;
