--- a/src/coordination/coordination.test.ts
+++ b/src/coordination/coordination.test.ts
@@ -1,5 +1,5 @@
 /**
- * The duty, against a store in memory whose answers can be lost.
+ * The promotion duty, tested against an in-memory store that can be unreachable.
  *
  * @packageDocumentation
  */
@@ -41,20 +41,20 @@
   return { duty, events };
 }
 
-/** Starts a daemon and lets it register and ask for the duty. */
+/** Starts a daemon, which registers and requests the duty. */
 async function running(started: Holder): Promise<Holder> {
   void started.duty.run();
   await settle();
   return started;
 }
 
-/** Ended after the tests: a loop that goes on would keep the process from ending. */
+/** Stopped after the tests, since a running renewal loop would keep the test process alive. */
 const started: Duty[] = [];
 after(async () => {
   for (const duty of started) await duty.stop();
 });
 
-test('a daemon whose record was taken away is back soon, long before its next renewal is due', async () => {
+test('a daemon whose liveness key was deleted registers again long before its next renewal is due', async () => {
   const store = new MemoryStore();
   const clock = { now: 0 };
   const { duty } = await running(holder(store, 'd1', clock));
@@ -64,13 +64,13 @@
   await duty.keysChanged();
   const deadlineMs = performance.now() + 1500;
   while (!store.items.has(key)) {
-    assert.ok(performance.now() < deadlineMs, 'the record is still gone');
+    assert.ok(performance.now() < deadlineMs, 'the liveness key is still missing');
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
   await duty.stop();
 });
 
-test('a daemon that could not keep its lease does so as soon as the store answers again', async () => {
+test('a daemon whose lease expired during an outage registers again as soon as the store answers', async () => {
   const store = new MemoryStore();
   const { duty } = await running(holder(store, 'd1', { now: 0 }));
   store.isDown = true;
@@ -82,14 +82,14 @@
   duty.storeRegained();
   const deadlineMs = performance.now() + 400;
   while (!store.items.has('sorrelladder/live/d1')) {
-    assert.ok(performance.now() < deadlineMs, 'the lease is still gone');
+    assert.ok(performance.now() < deadlineMs, 'the liveness key is still missing');
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
   await duty.stop();
 });
 
 describe('the duty', () => {
-  test('is held by one, and the fence rises with each holder', async () => {
+  test('is held by one daemon at a time, and the fence increases with each holder', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const first = holder(store, 'd1', clock);
@@ -107,21 +107,21 @@
     await second.duty.stop();
   });
 
-  test('is trusted no longer than the lease by the holder’s own clock', async () => {
+  test('is relied on for at most the lease duration by the holder’s own clock', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const { duty } = await running(holder(store, 'd1', clock));
     const trustedMs = DUTY_LEASE.lengthMs - DUTY_LEASE.safetyMs;
     clock.now = trustedMs - 10;
     assert.equal(duty.heldFence(0), 1);
-    assert.equal(duty.heldFence(400), null, 'not enough left for a call');
+    assert.equal(duty.heldFence(400), null, 'too little time left for a call');
     clock.now = trustedMs;
-    assert.equal(duty.heldFence(0), null, 'a frozen holder finds its lease lapsed');
+    assert.equal(duty.heldFence(0), null, 'a holder that was frozen finds its lease expired');
     assert.equal(duty.held, null);
     await duty.stop();
   });
 
-  test('a record of an earlier lease of the same daemon gives it nothing', async () => {
+  test('a record of an earlier lease of the same daemon does not make it the holder', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const { duty, events } = await running(holder(store, 'd1', clock));
@@ -137,10 +137,10 @@
   });
 });
 
-describe('a duty whose record is gone', () => {
+describe('a duty whose record was deleted', () => {
   const DUTY_KEY = 'sorrelladder/duty';
 
-  test('without a word is not acted on before the last holder has stopped by its own clock', async () => {
+  test('without a release is not acted on before the last holder has stopped by its own clock', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const first = await running(holder(store, 'd1', clock));
@@ -149,32 +149,32 @@
     clock.now = 1000;
     void second.duty.run();
     await settle();
-    // The store takes the key away; the holder is cut off from it and hears nothing.
+    // The store deletes the key; the holder, disconnected from it, is not notified.
     store.items.delete(DUTY_KEY);
     await second.duty.keysChanged();
     assert.equal(second.duty.isHolder, true);
-    const vanishedAtMs = clock.now;
-    const neverBoth = (untilMs: number): void => {
+    const deletedAtMs = clock.now;
+    const assertNeverBoth = (untilMs: number): void => {
       for (; clock.now < untilMs; clock.now += 50) {
         const both = [first.duty.heldFence(0), second.duty.heldFence(0)].filter((fence) => fence !== null);
         assert.ok(both.length <= 1, `both act at ${clock.now}`);
       }
     };
-    neverBoth(vanishedAtMs + DUTY_LEASE.renewalMs);
+    assertNeverBoth(deletedAtMs + DUTY_LEASE.renewalMs);
     assert.equal(first.duty.heldFence(0), null);
-    // The second renews its lease, and the first finds that it has lost the duty.
+    // The second renews its lease, and the first detects that it has lost the duty.
     while (store.reads < 2) await new Promise((resolve) => setTimeout(resolve, 10));
     await settle();
     assert.equal(first.events.at(-1), 'lost');
-    neverBoth(vanishedAtMs + TAKEOVER_WAIT_MS - 50);
+    assertNeverBoth(deletedAtMs + TAKEOVER_WAIT_MS - 50);
     assert.equal(second.duty.heldFence(0), null);
-    clock.now = vanishedAtMs + TAKEOVER_WAIT_MS;
+    clock.now = deletedAtMs + TAKEOVER_WAIT_MS;
     assert.equal(second.duty.heldFence(0), 2);
     await first.duty.stop();
     await second.duty.stop();
   });
 
-  test('is acted on at once when the process of the last holder has ended', async () => {
+  test('is acted on at once if the process of the last holder has ended', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     await running(holder(store, 'd1', clock));
@@ -188,18 +188,22 @@
     assert.equal(second.duty.heldFence(0), 2);
   });
 
-  test('is lost by its holder as soon as that hears of it', async () => {
+  test('is lost by its holder as soon as its local copy shows the deletion', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const { duty, events } = await running(holder(store, 'd1', clock));
     store.items.delete(DUTY_KEY);
     store.number += 1;
     await duty.keysChanged();
-    assert.deepEqual(events, ['taken 1', 'lost', 'taken 2'], 'it takes it again, with a higher fence');
+    assert.deepEqual(
+      events,
+      ['taken 1', 'lost', 'taken 2'],
+      'the daemon acquires it again, with a higher fence',
+    );
     await duty.stop();
   });
 
-  test('is not lost to a copy of the store from before it was taken', async () => {
+  test('is not lost because of a local copy from before it was acquired', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const events: string[] = [];
@@ -224,7 +228,7 @@
     await duty.stop();
   });
 
-  test('is acted on at once when the last holder said that it let go', async () => {
+  test('is acted on at once if the last holder released it', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const first = await running(holder(store, 'd1', clock));
@@ -236,7 +240,7 @@
     await second.duty.stop();
   });
 
-  test('and that was held by somebody of whom a daemon has never heard, is waited for', async () => {
+  test('and whose holder was never observed by a daemon, is acted on by it only after the wait', async () => {
     const store = new MemoryStore();
     const clock = { now: 0 };
     const first = await running(holder(store, 'd1', clock));
@@ -253,84 +257,88 @@
 });
 
 /**
- * The store came back from a copy that lacks the last holder's record, and its fence. Two daemons promoted under one fence, and could
- * do so at the same time: the copy showed a holder that had let go, so whoever had just started waited for nobody, and counted on from
- * the older fence. Evidence: on the code before, `two holders under one fence: front-3#2 front-1#2` in store-era.test.ts.
+ * Guards against two daemons that promote under the same fence, possibly at the same time, after the store
+ * was restored from a backup that lacks the record and the fence of the last holder. The backup showed a
+ * released duty, so a daemon that had just started did not wait for anybody and continued from the older
+ * fence. It showed as `two holders under one fence: front-3#2 front-1#2` in store-era.test.ts.
  */
-describe('the duty of a store that has come back from a copy', () => {
-  interface Scene {
+describe('the duty after a restore of the store from a backup', () => {
+  interface RestoreScenario {
     readonly store: MemoryStore;
     readonly clock: { now: number };
-    readonly last: Seen;
-    readonly next: Seen;
+    readonly last: ViewedHolder;
+    readonly next: ViewedHolder;
   }
 
-  interface Seen extends Holder {
+  interface ViewedHolder extends Holder {
     readonly view: SeenStore;
   }
 
-  function seen(store: MemoryStore, name: string, clock: { now: number }): Seen {
+  function viewedHolder(store: MemoryStore, name: string, clock: { now: number }): ViewedHolder {
     const view = new SeenStore(store);
     return { view, ...holder(view, name, clock) };
   }
 
-  async function look({ view, duty }: Seen): Promise<void> {
+  async function refreshView({ view, duty }: ViewedHolder): Promise<void> {
     view.look();
     await duty.keysChanged();
     await settle();
   }
 
-  /** One holder lets go, a copy is made, another holds; the store comes back, and a third takes the duty. */
-  async function comeBack(isLastCut: boolean): Promise<Scene> {
+  /**
+   * A holder releases the duty, a backup is made, another daemon holds it; the store is restored, and a third
+   * acquires it.
+   */
+  async function restoreBackup(isLastDisconnected: boolean): Promise<RestoreScenario> {
     const store = new MemoryStore();
     const clock = { now: 0 };
-    const first = seen(store, 'd1', clock);
-    await look(first);
+    const first = viewedHolder(store, 'd1', clock);
+    await refreshView(first);
     await running(first);
     await first.duty.stop();
-    const copy = store.copy();
-    const last = seen(store, 'd2', clock);
-    await look(last);
+    const backup = store.copy();
+    const last = viewedHolder(store, 'd2', clock);
+    await refreshView(last);
     await running(last);
     assert.equal(last.duty.heldFence(0), 2);
-    last.view.isCut = isLastCut;
-    store.comeBackFrom(copy);
-    const next = seen(store, 'd3', clock);
-    await look(next);
+    last.view.isCut = isLastDisconnected;
+    store.comeBackFrom(backup);
+    const next = viewedHolder(store, 'd3', clock);
+    await refreshView(next);
     await running(next);
-    await look(next);
+    await refreshView(next);
     assert.equal(next.duty.isHolder, true);
     return { store, clock, last, next };
   }
 
-  test('is not acted on while the last holder, cut off, may still trust its lease', async () => {
-    const { clock, last, next } = await comeBack(true);
+  test('is not acted on while the last holder, which is disconnected, may still rely on its lease', async () => {
+    const { clock, last, next } = await restoreBackup(true);
     for (; clock.now < TAKEOVER_WAIT_MS; clock.now += 50) {
       assert.equal(next.duty.heldFence(0), null, `acted on at ${clock.now}`);
       if (clock.now >= DUTY_LEASE.lengthMs) assert.equal(last.duty.heldFence(0), null);
-      if (clock.now % DUTY_LEASE.renewalMs === 0) await renewed(next);
+      if (clock.now % DUTY_LEASE.renewalMs === 0) await afterRenewal(next);
     }
     assert.ok((next.duty.heldFence(0) ?? 0) > 2);
   });
 
-  test('has a fence above all that were given out, though the store has forgotten them', async () => {
-    const { clock, next } = await comeBack(true);
-    for (; clock.now < TAKEOVER_WAIT_MS; clock.now += DUTY_LEASE.renewalMs) await renewed(next);
+  test('has a fence greater than all earlier ones, though the store has lost them', async () => {
+    const { clock, next } = await restoreBackup(true);
+    for (; clock.now < TAKEOVER_WAIT_MS; clock.now += DUTY_LEASE.renewalMs) await afterRenewal(next);
     assert.ok((next.duty.heldFence(0) ?? 0) > 2);
   });
 
-  test('is lost by its holder as soon as any answer tells of the return', async () => {
-    const { last } = await comeBack(false);
+  test('is lost by its holder as soon as any response reports the new era', async () => {
+    const { last } = await restoreBackup(false);
     assert.equal(last.duty.isHolder, true);
     await last.view.read('anything');
     assert.equal(last.duty.isHolder, false);
     assert.equal(last.events.at(-1), 'lost');
   });
 
-  test('is taken only by what the store holds since: an older copy of it shows who held it before', async () => {
+  test('is acquired only on the basis of a local copy of the current era', async () => {
     const store = new MemoryStore();
-    const daemon = seen(store, 'd1', { now: 0 });
-    await look(daemon);
+    const daemon = viewedHolder(store, 'd1', { now: 0 });
+    await refreshView(daemon);
     await running(daemon);
     assert.equal(daemon.duty.isHolder, true);
     store.comeBackFrom({ items: new Map(), number: 1 });
@@ -338,13 +346,13 @@
     await daemon.duty.keysChanged();
     assert.equal(daemon.duty.isHolder, false);
     assert.equal(store.items.has('sorrelladder/duty'), false);
-    await look(daemon);
-    await waitFor(() => store.items.has('sorrelladder/live/d1'), 'it registers again');
-    await look(daemon);
-    await waitFor(() => daemon.duty.isHolder, 'it takes the duty again');
+    await refreshView(daemon);
+    await waitFor(() => store.items.has('sorrelladder/live/d1'), 'the daemon registers again');
+    await refreshView(daemon);
+    await waitFor(() => daemon.duty.isHolder, 'the daemon acquires the duty again');
   });
 
-  async function renewed({ view }: Seen): Promise<void> {
+  async function afterRenewal({ view }: ViewedHolder): Promise<void> {
     const { reads } = view;
     await waitFor(() => view.reads > reads, 'the lease is renewed');
     await settle();
--- a/src/coordination/duty.ts
+++ b/src/coordination/duty.ts
@@ -1,12 +1,14 @@
 /**
- * The record of this daemon in the store, and the duty of promoting: one holder at a time, with a fence that
- * rises with each holder.
+ * Registers this daemon in the store and acquires the promotion duty: the exclusive right to promote members,
+ * with a fencing token (the fence) that increases with each holder.
  *
- * The record stays until the daemon stops or starts anew, so that whoever promotes knows all who may hold evidence,
- * also those that the store has not heard of for long. That the daemon lives stands under a lease; the duty stands under a
- * shorter one, since nobody is promoted while its holder is gone and its lease runs. The holder trusts its lease only for
- * its length after the last renewal was sent, by its own monotonic clock: one that was frozen, or cut off, knows that it
- * may have been followed.
+ * The record of a daemon has no lease and remains until a new process of the daemon overwrites it, so that
+ * the holder of the duty knows all daemons that may hold leadership evidence, also those that have been
+ * disconnected from the store for long. A second key under the liveness lease shows that the daemon is
+ * running. The record of the duty is attached to a shorter lease, because no member is promoted between the
+ * failure of the holder and the expiry of its lease. By its own monotonic clock, the holder relies on a lease
+ * only for its duration after the last renewal was sent. A holder that was frozen or disconnected thereby
+ * knows that another daemon may hold the duty.
  *
  * @packageDocumentation
  */
@@ -41,69 +43,73 @@
 const FENCE_KEY = `${COORDINATION_PREFIX}fence`;
 
 /**
- * Times of the lease under which a daemon is said to live. Whoever meets a daemon that is gone finds out by itself, so the
- * lease need not be short; each renewal is priced, and there is one for each daemon.
+ * Times of the lease that shows that a daemon is running. It need not be short, since other daemons detect
+ * the failure of a daemon on their own when they contact it. Each renewal is charged, and each daemon renews
+ * such a lease.
  */
 const LIVENESS_LEASE: LeaseTimes = { lengthMs: 6000, safetyMs: 250, renewalMs: 2000 };
 /**
- * Time between attempts to keep the lease while the store does not answer, in milliseconds: doubled from the first to the
- * second with each failure in a row, and over once the store is heard of again. A daemon that was never registered keeps to
- * the first.
+ * Shortest and longest time between attempts to renew the liveness lease while the store does not answer, in
+ * milliseconds. The time doubles with each consecutive failure and ends early when the store answers again. A
+ * daemon that has never registered always uses the shortest.
  */
 const MIN_RETRY_MS = 200;
 const MAX_RETRY_MS = 2000;
-/** Least time between two attempts to keep the lease, in milliseconds. */
+/** Shortest time between two renewals of the liveness lease, in milliseconds. */
 const MIN_RENEWAL_GAP_MS = 200;
-/** Longest wait for the sight of the duty's record, in milliseconds: an answer that is lost must not use up the lease. */
+/**
+ * Time-out of the read that confirms the record of the duty, in milliseconds: a lost response must not use up
+ * the lease.
+ */
 const CONFIRM_TIMEOUT_MS = 400;
 /**
- * Time from the first sight of a new era of the store until all daemons that reach it have registered again, in milliseconds: a renewal
- * and its longest spread, the longest pause before the next attempt, and the two calls.
+ * Time from the first observation of a new era until all daemons that reach the store have registered again,
+ * in milliseconds: a renewal interval with its jitter, the longest pause before the next attempt, and the two
+ * calls.
  */
 const REREGISTRATION_MS = 5000;
-/** Time between attempts of the holder of the duty, in milliseconds. */
+/** Time between attempts to renew the lease of the duty while the store does not answer, in milliseconds. */
 const DUTY_RENEWAL_RETRY_MS = 60;
 
-/** A copy of the store, which may be behind. */
+/** The local copy of the store, which may be out of date. */
 export interface LocalCopy {
   readonly items: ReadonlyMap<string, StoredItem>;
-  /** Revision as of which the copy is. */
+  /** Revision of the copy. */
   readonly revision: Revision;
 }
 
-/** Who is told about the duty. */
 export interface DutyListener {
-  /** The store has this daemon's record. */
+  /** The daemon was registered in the store. */
   registered(): void;
   taken(fence: number): void;
   lost(reason: string): void;
 }
 
-/** Keeps this daemon's lease, its record and, where it is free, the duty. */
+/** Maintains the registration of this daemon, and acquires and holds the duty when it is free. */
 export class Duty {
   readonly #livenessLease: StoreLease;
   readonly #dutyLease: StoreLease;
   #isRegistered = false;
   #fence: number | null = null;
-  /** Time from which this holder may act: no earlier one does any more. */
+  /** Time from which this holder may act, since no earlier holder acts any more. */
   #actsFromMs = 0;
-  /** Until when the record as last written counts, by this daemon's clock. */
+  /** Time until which this daemon relies on the record of the duty as last confirmed or written. */
   #recordTrustedUntilMs = Number.NEGATIVE_INFINITY;
   #dutyRevision = NO_REVISION;
-  /** Revision of this daemon's last change: an older copy of the store says nothing of what it has. */
+  /** Revision of this daemon's last change. An earlier local copy does not show what this daemon holds. */
   #ownRevision = NO_REVISION;
-  /** From when no earlier holder acts any more, as known when the duty was asked for. */
+  /** Time from which no earlier holder acts any more, as known at the last request for the duty. */
   #freeFromMs = Number.NEGATIVE_INFINITY;
-  /** When the duty was last asked for. */
+  /** Time of the last request for the duty. */
   #askedAtMs = Number.NEGATIVE_INFINITY;
   readonly #history = new DutyHistory();
   #isStopped = false;
   #isAcquiring = false;
   #isAcquisitionDelayed = false;
-  /** Told when the record of this daemon's lease is gone, or the store answers again. */
+  /** Notified when the registration of this daemon was lost, or the store answers again. */
   readonly #renewalRequest = new ChangeSignal();
   #isRenewalRequested = false;
-  /** The lease asked for before the store was read, while nobody has used it. */
+  /** Request for a liveness lease before the store was read, until the lease is used. */
   #pendingGrant: Promise<void> | null = null;
 
   constructor(
@@ -111,13 +117,15 @@
     private readonly self: DaemonRecord,
     private readonly localCopy: () => LocalCopy,
     private readonly listener: DutyListener,
-    /** Whether the process of a former holder has certainly ended. */
+    /** True if the process of a former holder has certainly ended. */
     private readonly isEnded: (holder: DutyHolder) => Promise<boolean>,
     private readonly now: () => number,
     private readonly random: () => number,
-    /** How long this daemon leaves a free duty to others before it asks for it, in milliseconds. */
+    /**
+     * Time for which this daemon leaves a free duty to other daemons before it requests it, in milliseconds.
+     */
     private readonly acquisitionDelayMs: () => number = () => 0,
-    /** Told of records that cannot be read. */
+    /** Reports records that cannot be read. */
     private readonly faults = untoldFaults(),
   ) {
     this.#livenessLease = new StoreLease(store, LIVENESS_LEASE, now);
@@ -126,38 +134,42 @@
   }
 
   /**
-   * The fence while this daemon holds the duty for at least `reserveMs` milliseconds more and may act on it, or `null`.
+   * The fence if this daemon may act on the duty now and holds it for more than `reserveMs` further
+   * milliseconds, otherwise `null`.
    */
   heldFence(reserveMs: number): number | null {
     const now = this.now();
     return now >= this.#actsFromMs && now + reserveMs < this.#untilMs ? this.#fence : null;
   }
 
-  /** True while this daemon has the duty, though it may have to wait before it acts. */
+  /** True while this daemon holds the duty, though it may have to wait before it acts on it. */
   get isHolder(): boolean {
     return this.#fence !== null && this.now() < this.#untilMs;
   }
 
-  /** Since when and until when the duty is held, or `null` while it is not; monotonic milliseconds. */
+  /**
+   * Times from and until which this daemon may act on the duty, in monotonic milliseconds; `null` if it may
+   * not now.
+   */
   get held(): { readonly takenAtMs: number; readonly untilMs: number } | null {
     if (this.heldFence(0) === null) return null;
     return { takenAtMs: this.#actsFromMs, untilMs: this.#untilMs };
   }
 
   /**
-   * True while the store may lack records of daemons that run: it has come back from a copy, and not all of them have had time to
-   * register again.
+   * True while the store may lack records of running daemons, because it was restored from a backup and they
+   * may not have registered again.
    */
   get isRegisterBehind(): boolean {
     return this.#history.sinceNewEraMs(this.now()) < REREGISTRATION_MS;
   }
 
-  /** Asks for a lease, so that it is there when {@link Duty.run} registers. */
+  /** Requests the liveness lease ahead of {@link Duty.run}, which registers under it. */
   prepare(): void {
     this.#pendingGrant = this.#livenessLease.grant().catch(() => undefined);
   }
 
-  /** Keeps the lease until {@link Duty.stop}. */
+  /** Renews the registration, and requests the duty when it is free, until {@link Duty.stop}. */
   async run(): Promise<void> {
     let failures = 0;
     while (!this.#isStopped) {
@@ -169,12 +181,12 @@
     }
   }
 
-  /** The store answers again: the lease may have run out. */
+  /** To be called when the store answers again: the lease may have expired and is renewed at once. */
   storeRegained(): void {
     this.#requestRenewal();
   }
 
-  /** Waits for the next attempt, or less when there is a reason to make it soon. */
+  /** Waits for the next renewal, which may be requested earlier. */
   async #waitForNextRenewal(ms: number): Promise<void> {
     await delay(Math.min(ms, MIN_RENEWAL_GAP_MS));
     if (!this.#isRenewalRequested && ms > MIN_RENEWAL_GAP_MS)
@@ -192,12 +204,12 @@
     return Math.min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** Math.min(failures - 1, 8));
   }
 
-  /** Takes what the copy shows of the duty, before anything is decided by it. */
+  /** Records the duty as shown by the local copy; to be called before any decision that depends on it. */
   look(): void {
     if (this.#isCopyOfCurrentEra()) this.#history.observe(this.#observeCopy(), this.now());
   }
 
-  /** The coordination keys have changed. */
+  /** To be called when the coordination keys have changed in the local copy. */
   async keysChanged(): Promise<void> {
     if (!this.#isCopyOfCurrentEra()) return;
     this.look();
@@ -206,7 +218,10 @@
     if (isLater(this.#ownRevision, revision)) return;
     const record = presentRecord(observation);
     if (record !== null && this.#isOurs(record)) this.#becomeHolder(record.fence, observation.revision);
-    else this.#loseDuty(record?.state === 'held' ? `held by ${record.holder}` : 'the record is gone');
+    else
+      this.#loseDuty(
+        record?.state === 'held' ? `held by ${record.holder}` : 'the duty record was deleted or replaced',
+      );
     if (!items.has(LIVE_PREFIX + this.self.name) || this.#isRegistrationUnreadable()) {
       this.#isRegistered = false;
       this.#requestRenewal();
@@ -214,7 +229,7 @@
     if (record?.state !== 'held' && this.#isRegistered) await this.#acquireAfterDelay();
   }
 
-  /** Gives up the duty and the record. */
+  /** Releases the duty and revokes both leases. */
   async stop(): Promise<void> {
     this.#isStopped = true;
     const fence = this.#fence;
@@ -225,22 +240,25 @@
     );
   }
 
-  /** Keeps the lease of the duty, and looks at its record, while it is held with a fence. */
+  /**
+   * Renews the lease of the duty and confirms its record, while this daemon holds the duty with the given
+   * fence.
+   */
   async #renewWhileHeld(fence: number): Promise<void> {
     let isStoreAnswering = true;
     for (;;) {
       await delay(isStoreAnswering ? DUTY_LEASE.renewalMs : DUTY_RENEWAL_RETRY_MS);
       if (this.#fence !== fence || this.#isStopped) return;
-      if (this.now() >= this.#untilMs) return this.#loseDuty('the lease may have lapsed');
+      if (this.now() >= this.#untilMs) return this.#loseDuty('the duty lease may have expired');
       isStoreAnswering = await this.#renewDutyLease();
     }
   }
 
-  /** False when the store did not answer. */
+  /** False if the store did not answer. */
   async #renewDutyLease(): Promise<boolean> {
     try {
       if (await this.#dutyLease.renew()) await this.#confirmRecord();
-      else this.#loseDuty('the lease is over');
+      else this.#loseDuty('the duty lease has expired');
       return true;
     } catch (error) {
       if (!(error instanceof StoreError)) throw error;
@@ -266,7 +284,7 @@
   }
 
   async #register(): Promise<boolean> {
-    // Its number may be another's by now.
+    // After a restore of the store, the id may belong to the lease of another daemon.
     if (!this.#livenessLease.isHeld) return false;
     const { name, life } = this.self;
     const puts = [
@@ -282,7 +300,10 @@
     return this.#isRegistered;
   }
 
-  /** Asks for the duty when it is this daemon's turn: whoever asks makes two calls of the store, and one is enough. */
+  /**
+   * Requests the duty after this daemon's delay: a request takes two calls of the store, and one daemon is
+   * enough.
+   */
   async #acquireAfterDelay(): Promise<void> {
     if (this.#isAcquisitionDelayed || !this.#mayAcquire()) return;
     const delayMs = this.acquisitionDelayMs();
@@ -294,7 +315,10 @@
     await this.#acquire();
   }
 
-  /** Takes the duty if nobody holds it, or if an earlier life of this very daemon did. */
+  /**
+   * Requests the duty if it is free, or if it is held by this daemon's own name, as by an earlier process of
+   * it.
+   */
   async #acquire(): Promise<void> {
     if (this.#isAcquiring || !this.#mayAcquire()) return;
     const observation = this.#observeCopy();
@@ -311,7 +335,9 @@
     }
   }
 
-  /** True when this daemon does not hold the duty and, as far as it knows, nobody else does. */
+  /**
+   * True if this daemon does not hold the duty and, by the local copy, neither does a daemon of another name.
+   */
   #mayAcquire(): boolean {
     if (this.#isStopped || this.#fence !== null || !this.#isRegistered) return false;
     if (!this.#isCopyOfCurrentEra()) return false;
@@ -342,17 +368,17 @@
     this.#becomeHolder(fence, answer.revision);
   }
 
-  /** Looks whether the record still stands: the lease alone does not show that it was taken away. */
+  /** Reads the record of the duty: a renewed lease alone does not show whether the record was deleted. */
   async #confirmRecord(): Promise<void> {
     const sentAtMs = this.now();
     const item = await this.store.read(DUTY_KEY, CONFIRM_TIMEOUT_MS);
     const record = item === null ? null : this.#readDuty(item);
     if (record !== null && this.#isOurs(record))
       this.#recordTrustedUntilMs = this.#dutyLease.trustedUntilMs(sentAtMs);
-    else this.#loseDuty('the record is gone');
+    else this.#loseDuty('the duty record was deleted or replaced');
   }
 
-  /** Need not wait for an earlier holder whose process has ended. */
+  /** Ends the wait for an earlier holder if its process has ended. */
   async #skipWaitIfHolderEnded(fence: number): Promise<void> {
     const { holder, holderActsFromMs } = this.#history;
     if (holder === null || this.now() >= this.#actsFromMs) return;
@@ -360,7 +386,7 @@
     this.#actsFromMs = Math.max(this.now(), holderActsFromMs);
   }
 
-  /** Says that the duty is free: the next holder need not wait. */
+  /** Marks the duty as released, so that the next holder need not wait for this one. */
   async #release(fence: number): Promise<void> {
     await this.store.transact({
       conditions: [{ key: DUTY_KEY, revision: this.#dutyRevision }],
@@ -393,24 +419,27 @@
     return Math.min(this.#dutyLease.untilMs, this.#recordTrustedUntilMs);
   }
 
-  /** The era of the copy. */
+  /** Era of the local copy. */
   get #era(): number {
     return this.localCopy().revision.era;
   }
 
-  /** False while the store is known to have come back, and the copy has not been read again. */
+  /** False after a restore of the store, until the local copy was read again. */
   #isCopyOfCurrentEra(): boolean {
     return this.#era === this.store.era.current;
   }
 
-  /** The store has come back from a copy: what was written since is gone, leases too, whose numbers may be given to others. */
+  /**
+   * Handles a restore of the store: writes since the backup are lost, as are leases, whose ids may be
+   * assigned to other daemons.
+   */
   #onEraIncrease(): void {
-    this.#loseDuty('the store came back from a copy');
+    this.#loseDuty('the store was restored from a backup');
     this.#isRegistered = false;
     this.#requestRenewal();
   }
 
-  /** A record that cannot be read says as little as one that is gone. */
+  /** The duty as shown by the local copy. A record that cannot be read is treated like one that is absent. */
   #observeCopy(): DutySight {
     const { items } = this.localCopy();
     const duty = items.get(DUTY_KEY) ?? null;
@@ -427,7 +456,10 @@
     return valueOrReport('duty', item, readDutyRecord(item.value), this.faults);
   }
 
-  /** True when somebody has written over this daemon's record what cannot be read: whoever promotes would not know of it. */
+  /**
+   * True if another client overwrote this daemon's record with an unreadable value: the holder of the duty
+   * would not know this daemon.
+   */
   #isRegistrationUnreadable(): boolean {
     const item = this.localCopy().items.get(DAEMON_PREFIX + this.self.name);
     return item !== undefined && readRegistration(item).kind === 'unreadable';
--- a/src/coordination/foreign-keys.test.ts
+++ b/src/coordination/foreign-keys.test.ts
@@ -1,5 +1,5 @@
 /**
- * The project's own keys in the store, written by somebody else.
+ * Keys of this project in the store that were overwritten by another client.
  *
  * @packageDocumentation
  */
@@ -14,7 +14,7 @@
 import { Duty } from './duty.js';
 import { at } from '../../test/support/revisions.js';
 
-/** Runs of each property: more by hand, as `FUZZ_RUNS=10000`; with other seeds, as `FUZZ_SEED=4`. */
+/** Runs of the property; set `FUZZ_RUNS=10000` for more runs and `FUZZ_SEED=4` for another seed. */
 const FUZZ = {
   seed: Number(process.env['FUZZ_SEED'] ?? 20_261_203),
   numRuns: Number(process.env['FUZZ_RUNS'] ?? 300),
@@ -39,9 +39,9 @@
   return new Map(entries.map(([key, value], index) => [key, { key, value, revision: at(index + 1) }]));
 }
 
-const BAD_RECORDS: readonly (readonly [string, Buffer])[] = [
-  ['bytes that are no JSON', Buffer.from('{"name":"d2"')],
-  ['bytes that are no UTF-8', Buffer.from([0xff, 0x80])],
+const INVALID_RECORDS: readonly (readonly [string, Buffer])[] = [
+  ['bytes that are not JSON', Buffer.from('{"name":"d2"')],
+  ['bytes that are not UTF-8', Buffer.from([0xff, 0x80])],
   ['an empty value', Buffer.alloc(0)],
   ['null', json(null)],
   ['a list', json([RECORD])],
@@ -49,16 +49,16 @@
   ['no life', json({ ...RECORD, name: 'd2', life: undefined })],
   ['the name of another daemon', json({ ...RECORD, host: '10.6.6.6' })],
   ['a host that is a number', json({ ...RECORD, name: 'd2', host: 1 })],
-  ['a port that is a text', json({ ...RECORD, name: 'd2', port: '7000' })],
+  ['a port that is a string', json({ ...RECORD, name: 'd2', port: '7000' })],
   ['a port out of range', json({ ...RECORD, name: 'd2', port: 70_000 })],
-  ['no port to lend at', json({ ...RECORD, name: 'd2', gatewayPort: undefined })],
+  ['no gateway port', json({ ...RECORD, name: 'd2', gatewayPort: undefined })],
   ['a zone that is null', json({ ...RECORD, name: 'd2', zone: null })],
   ['a negative capacity', json({ ...RECORD, name: 'd2', capacity: -1 })],
 ];
 
 describe('the record of a daemon', () => {
-  for (const [what, value] of BAD_RECORDS) {
-    test(`with ${what} is left out, and the others hold`, () => {
+  for (const [what, value] of INVALID_RECORDS) {
+    test(`with ${what} is ignored, and the others are read`, () => {
       const { registered, leased } = readDaemons(
         itemsOf([
           ['sorrelladder/daemons/d1', json(RECORD)],
@@ -75,7 +75,7 @@
     });
   }
 
-  test('that cannot be read spoils no listing, unless its daemon lives: it may hold evidence that nobody asks for', async () => {
+  test('that cannot be read fails a listing only if its daemon has a valid lease: it may hold evidence, and cannot be asked', async () => {
     const store = new MemoryStore();
     overwrite(store, 'sorrelladder/daemons/d0', json(null));
     overwrite(store, 'sorrelladder/daemons/d1', json(RECORD));
@@ -93,14 +93,14 @@
     assert.equal(registration.countsFromMs, Number.POSITIVE_INFINITY);
   });
 
-  test('of this daemon is written again when somebody has spoilt it', async () => {
+  test('of this daemon is written again if another client overwrote it with an unreadable value', async () => {
     const { store, duty } = await running();
     const key = 'sorrelladder/daemons/d1';
     overwrite(store, key, json(null));
     await duty.keysChanged();
     const deadlineMs = performance.now() + 1500;
     while (store.items.get(key)?.value.toString() !== JSON.stringify(RECORD)) {
-      assert.ok(performance.now() < deadlineMs, 'the record is still spoilt');
+      assert.ok(performance.now() < deadlineMs, 'the record is still unreadable');
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
   });
@@ -118,7 +118,7 @@
   for (const duty of started) await duty.stop();
 });
 
-/** A daemon that has registered and, where it is free, taken the duty. */
+/** Starts a daemon, which registers and acquires the duty if it is free. */
 async function running(store = new MemoryStore(), clock = { now: 0 }): Promise<Running> {
   const events: string[] = [];
   const duty = new Duty(
@@ -146,10 +146,10 @@
   store.items.set(key, { key, value, revision: store.revision, leaseId: 0 });
 }
 
-const BAD_DUTIES: readonly (readonly [string, Buffer])[] = [
-  ['bytes that are no JSON', Buffer.from('{')],
+const INVALID_DUTY_RECORDS: readonly (readonly [string, Buffer])[] = [
+  ['bytes that are not JSON', Buffer.from('{')],
   ['null', json(null)],
-  ['a state that is not named', json({ state: 'wanted', fence: 9 })],
+  ['an unknown state', json({ state: 'wanted', fence: 9 })],
   [
     'a holder that is a number',
     json({ state: 'held', holder: 1, life: 'x', fence: 9, leaseId: 1, actsInMs: 0 }),
@@ -158,18 +158,18 @@
   ['a fractional fence', json({ state: 'released', fence: 1.5 })],
   ['a negative fence', json({ state: 'released', fence: -1 })],
   [
-    'a wait that is a text',
+    'a waiting time that is a string',
     json({ state: 'held', holder: 'x', life: 'x', fence: 9, leaseId: 1, actsInMs: 'soon' }),
   ],
 ];
 
 describe('the record of the duty', () => {
-  for (const [what, value] of BAD_DUTIES) {
-    test(`with ${what} ends the duty, which is taken again with a higher fence and acted on after the wait`, async () => {
+  for (const [what, value] of INVALID_DUTY_RECORDS) {
+    test(`with ${what} ends the duty, which is acquired again with a higher fence and acted on after the wait`, async () => {
       const { store, duty, events, clock } = await running();
       overwrite(store, DUTY_KEY, value);
       await duty.keysChanged();
-      assert.deepEqual(events, ['taken 1', 'the record is gone', 'taken 2']);
+      assert.deepEqual(events, ['taken 1', 'the duty record was deleted or replaced', 'taken 2']);
       assert.equal(duty.isHolder, true);
       await duty.stop();
 
@@ -178,15 +178,27 @@
       overwrite(other, DUTY_KEY, value);
       const next = await running(other, clock);
       assert.deepEqual(next.events, ['taken 8']);
-      assert.equal(next.duty.heldFence(0), null, 'whoever held it may still act');
+      assert.equal(next.duty.heldFence(0), null, 'the last holder may still act');
     });
   }
 });
 
 describe('the fence', () => {
-  const BAD = ['', 'x', 'NaN', '-3', '1.5', '1e3', ' 7 ', 'null', '9'.repeat(400), '\u0000', '{"fence":4}'];
-  for (const text of BAD) {
-    test(`that is ${JSON.stringify(text.slice(0, 12))} rises all the same`, async () => {
+  const INVALID_FENCES = [
+    '',
+    'x',
+    'NaN',
+    '-3',
+    '1.5',
+    '1e3',
+    ' 7 ',
+    'null',
+    '9'.repeat(400),
+    '\u0000',
+    '{"fence":4}',
+  ];
+  for (const text of INVALID_FENCES) {
+    test(`that is ${JSON.stringify(text.slice(0, 12))} still increases`, async () => {
       const { store, duty, events } = await running();
       overwrite(store, FENCE_KEY, Buffer.from(text));
       await duty.stop();
@@ -199,7 +211,7 @@
     });
   }
 
-  test('rises also where neither it nor the record of the duty can be read, again and again', async () => {
+  test('increases also if neither it nor the record of the duty can be read, repeatedly', async () => {
     const store = new MemoryStore();
     const fences: number[] = [];
     for (let turn = 0; turn < 5; turn += 1) {
@@ -216,7 +228,7 @@
     );
   });
 
-  test('that is lower than that of the last holder still rises', async () => {
+  test('that is lower than that of the last holder still increases', async () => {
     const store = new MemoryStore();
     overwrite(store, FENCE_KEY, Buffer.from('2'));
     overwrite(store, DUTY_KEY, json({ state: 'released', fence: 12 }));
@@ -225,11 +237,11 @@
   });
 });
 
-test('whatever stands under the project’s own keys, nothing is thrown and good records are read', async () => {
+test('with any values under the project’s keys, nothing is thrown and valid records are read', async () => {
   const anyValue = fc.oneof(
     fc.uint8Array({ maxLength: 100 }).map((bytes) => Buffer.from(bytes)),
     fc.jsonValue().map(json),
-    fc.constantFrom(...[...BAD_RECORDS, ...BAD_DUTIES].map(([, value]) => value)),
+    fc.constantFrom(...[...INVALID_RECORDS, ...INVALID_DUTY_RECORDS].map(([, value]) => value)),
     fc
       .dictionary(fc.constantFrom(...Object.keys(RECORD)), fc.jsonValue())
       .map((fields) => json({ ...RECORD, ...fields })),
