--- a/src/coordination/revision.ts
+++ b/src/coordination/revision.ts
@@ -15,7 +15,7 @@
   readonly number: number;
 }
 
-/** Earlier than any revision of a store; also stands for an absent key. */
+/** Earlier than any revision of a store; also used for an absent key. */
 export const NO_REVISION: Revision = { era: 0, number: 0 };
 
 /** Negative if `left` is earlier than `right`, positive if it is later, 0 if both are equal. */
--- a/src/coordination/watched-store.ts
+++ b/src/coordination/watched-store.ts
@@ -133,7 +133,7 @@
     while (!this.#isStopped) {
       try {
         if (mustLoad) await this.#loadStaggered();
-        mustLoad = !(await this.#follow());
+        mustLoad = !(await this.#applyNextChanges());
         this.#recordSuccess();
       } catch (error) {
         await this.#backOff(String(error));
@@ -182,7 +182,7 @@
   }
 
   /** Performs one watch; false if the whole store has to be read again. */
-  async #follow(): Promise<boolean> {
+  async #applyNextChanges(): Promise<boolean> {
     const waitMs = this.#failures > 0 ? WATCH_AFTER_FAILURE_MS : MAX_WATCH_MS;
     const afterRevision = this.revision;
     // The era may have increased while no watch was in progress, and a delegate may not know of it yet.
