--- a/src/coordination/entry-faults.ts
+++ b/src/coordination/entry-faults.ts
@@ -1,5 +1,5 @@
 /**
- * What becomes known of entries of the store that cannot be read: a count of all, and a few lines.
+ * Reports entries of the store that cannot be read: each one is counted, and a limited number is logged.
  *
  * @packageDocumentation
  */
@@ -7,79 +7,79 @@
 import { formatRevision, isSameRevision, type Revision } from './revision.js';
 import type { EntryFault, FaultKind } from './stored-json.js';
 
-/** What an entry would have said, had it been readable. */
+/** What an entry would have contained, had it been readable. */
 export type EntryKind = 'member' | 'configuration' | 'registration' | 'lease' | 'duty' | 'fence' | 'item';
 
-/** An entry that was left out. */
-export interface LeftOutEntry {
+/** An entry that was ignored because it cannot be read. */
+export interface UnreadableEntry {
   readonly kind: EntryKind;
   readonly key: string;
-  /** `null` where not even that can be read. */
+  /** `null` if the revision cannot be read either. */
   readonly revision: Revision | null;
 }
 
-/** What the faults are told to. */
+/** Outputs of the reports. */
 export interface EntryFaultsPorts {
   log(event: string, details: Readonly<Record<string, unknown>>): void;
-  /** One more was left out. */
+  /** Counts an entry that was ignored. */
   count(kind: EntryKind, fault: FaultKind): void;
   now(): number;
 }
 
-/** Keys whose last unreadable revision is remembered, so that it counts once. */
-const MAX_KEYS = 1000;
-/** Characters of a key that a line shows. */
-const SHOWN_KEY_CHARACTERS = 100;
+/** Number of keys whose last unreadable revision is remembered, so that each revision is counted once. */
+const MAX_REMEMBERED_KEYS = 1000;
+/** A longer key is truncated in the log, in characters. */
+const MAX_LOGGED_KEY_LENGTH = 100;
 
-/** Counts and tells. */
+/** Counts and logs unreadable entries. */
 export class EntryFaults {
-  readonly #lines: FaultLog;
-  readonly #revisions = new Map<string, Revision>();
+  readonly #faultLog: FaultLog;
+  readonly #reportedRevisions = new Map<string, Revision>();
 
   constructor(private readonly ports: EntryFaultsPorts) {
-    this.#lines = new FaultLog(ports.log, ports.now);
+    this.#faultLog = new FaultLog(ports.log, ports.now);
   }
 
-  /** An entry is left out; looking at it again changes nothing. */
-  leftOut({ kind, key, revision }: LeftOutEntry, fault: EntryFault): void {
-    if (revision !== null && !this.#isNew(key, revision)) return;
+  /** Reports an ignored entry. A revision that was already reported for its key is not reported again. */
+  leftOut({ kind, key, revision }: UnreadableEntry, fault: EntryFault): void {
+    if (revision !== null && !this.#markReported(key, revision)) return;
     this.ports.count(kind, fault.kind);
     const details = {
       kind,
-      key: key.slice(0, SHOWN_KEY_CHARACTERS),
+      key: key.slice(0, MAX_LOGGED_KEY_LENGTH),
       revision: revision && formatRevision(revision),
       fault: fault.kind,
     };
-    this.#lines.tell(eventOf(kind), key, fault.reason, details);
+    this.#faultLog.tell(logEventOf(kind), key, fault.reason, details);
   }
 
-  /** A key can be read, or is gone. */
+  /** Clears the fault of a key that can be read again or was deleted. */
   good(kind: EntryKind, key: string): void {
-    if (this.#revisions.size > 0) this.#revisions.delete(key);
-    this.#lines.clear(eventOf(kind), key);
+    if (this.#reportedRevisions.size > 0) this.#reportedRevisions.delete(key);
+    this.#faultLog.clear(logEventOf(kind), key);
   }
 
-  #isNew(key: string, revision: Revision): boolean {
-    const known = this.#revisions.get(key);
+  #markReported(key: string, revision: Revision): boolean {
+    const known = this.#reportedRevisions.get(key);
     if (known !== undefined && isSameRevision(known, revision)) return false;
-    this.#revisions.set(key, revision);
-    if (this.#revisions.size > MAX_KEYS) this.#forgetOldest();
+    this.#reportedRevisions.set(key, revision);
+    if (this.#reportedRevisions.size > MAX_REMEMBERED_KEYS) this.#forgetOldest();
     return true;
   }
 
   #forgetOldest(): void {
-    for (const oldest of this.#revisions.keys()) {
-      this.#revisions.delete(oldest);
+    for (const oldest of this.#reportedRevisions.keys()) {
+      this.#reportedRevisions.delete(oldest);
       return;
     }
   }
 }
 
-/** Faults that nobody asks about. */
+/** Reports that are neither counted nor logged. */
 export function untoldFaults(): EntryFaults {
   return new EntryFaults({ log: () => undefined, count: () => undefined, now: () => 0 });
 }
 
-function eventOf(kind: EntryKind): string {
+function logEventOf(kind: EntryKind): string {
   return kind === 'configuration' ? 'configuration_rejected' : 'entry_left_out';
 }
