--- a/src/leadership/group-supervisor.ts
+++ b/src/leadership/group-supervisor.ts
@@ -1,8 +1,8 @@
 /**
- * The duty of one group: sees that it has a leader, and promotes another member when it has not, or when its
- * leader leaves.
+ * Supervises one group on the daemon that holds the promotion duty: makes sure that the group has a leader,
+ * and promotes another member when it has none or when its leader leaves.
  *
- * How it promotes is in `promotion.ts`.
+ * The promotion itself is in `promotion.ts`.
  *
  * @packageDocumentation
  */
@@ -18,9 +18,9 @@
 } from '../position/position.js';
 import { formatIncarnation } from '../topology/incarnation.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
-import { Doubts } from './doubts.js';
 import { EndedMembers } from './ended-members.js';
 import { LeaderLoss } from './leader-loss.js';
+import { LeaderSuspicions } from './leader-suspicions.js';
 import { LostLives } from './lost-lives.js';
 import type { ControlAnswer, MemberControl } from './member-control.js';
 import { OpenCalls } from './open-calls.js';
@@ -28,211 +28,241 @@
 import { ReplicaPauses } from './replica-pauses.js';
 import { StepDowns } from './step-downs.js';
 
-/** Asks the platform to make a member lead. Rejects when it may or may not have been heard. */
+/**
+ * Asks the platform to make a member the leader. Rejects when the platform may or may not have received the
+ * call.
+ */
 export interface PromotionPort {
   /**
-   * @param fence - rises with each holder of the duty
-   * @param timeoutMs - after it, nothing of the call may arrive any more; one that has arrived may still be acted on
-   * @returns false when the platform says that the member does not run, or when it cannot have heard the call
+   * @param fence - fencing token; rises with each holder of the duty
+   * @param timeoutMs - after it, the call may not reach the platform any more; a call that has arrived may
+   *   still take effect
+   * @returns false when the platform reports that the member does not run, or when it cannot have received
+   *   the call
    */
   promote(groupName: string, memberId: string, fence: number, timeoutMs: number): Promise<boolean>;
 }
 
-/** What a supervisor needs. */
+/** Dependencies of a {@link GroupSupervisor}. */
 export interface GroupSupervisorOptions {
   readonly control: MemberControl;
   readonly promotion: PromotionPort;
-  /** The fence while the duty is held for so many milliseconds more, or `null`. */
+  /** The fencing token if the duty is held for at least `reserveMs` more, else `null`. */
   heldFence(reserveMs: number): number | null;
-  /** Gives an order to all other daemons, or to some of them. */
+  /** Sends an order to all other daemons, or to some of them. */
   order(
     order: HolderOrder,
     timeoutMs: number,
     recipients?: Recipients,
   ): Promise<ReadonlyMap<string, OrderOutcome>>;
-  /** Daemons that connect to a member themselves. */
+  /** Number of daemons that keep their own connections to a member. */
   callerCount(memberId: string): number;
-  /** True when those hold their connections to it for all daemons. */
+  /**
+   * True when those daemons are gateways, which share their connections to the member with all other daemons.
+   */
   isLent(memberId: string): boolean;
-  /** A member leads by this daemon's own promotion. */
+  /** A member has become the leader through a promotion by this daemon. */
   confirmLeader(): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
 }
 
 /**
- * Time in which the answers to requests usually tell where the log of the leader stands, in milliseconds; how often it is asked where
- * they do not.
+ * After a daemon has ended: time in which replies to ordinary requests usually carry the leader's log
+ * position, and the most explicit queries for it where they do not.
+ */
+const LOG_QUERY_DELAY_MS = 150;
+const MAX_LOG_QUERIES = 4;
+/** Time between two checks of a group that seems healthy, in milliseconds. */
+const CHECK_INTERVAL_MS = 1000;
+/** Timeout of a status request to a member, in milliseconds. */
+const STATUS_TIMEOUT_MS = 200;
+/** Timeout of a probe of a suspected leader, in milliseconds, and number of probes. */
+const PROBE_TIMEOUT_MS = 130;
+const PROBE_ATTEMPTS = 2;
+/** Number of probes for a leader that has many client daemons and delays new connections. */
+const SLOW_PROBE_ATTEMPTS = 4;
+/** Number of client daemons from which on a suspicion needs several reporters, and how many. */
+const MANY_CLIENT_DAEMONS = 9;
+const REQUIRED_REPORTERS = 2;
+/**
+ * Time after a leadership transfer in which no other is begun for the same kinds of reason, in milliseconds.
  */
-const TRAFFIC_MS = 150;
-const LOG_QUESTIONS = 4;
-/** Time between looks at a group that seems well, in milliseconds. */
-const LOOK_MS = 1000;
-/** Longest wait for a member's status, in milliseconds. */
-const STATUS_MS = 200;
-/** Longest wait for a sign of life of a leader that is doubted, in milliseconds, and how often it is asked. */
-const LIFE_SIGN_MS = 130;
-const LIFE_SIGNS = 2;
-/** How often a leader is asked that has many callers and keeps new connections waiting. */
-const SLOW_SIGNS = 4;
-/** Callers of a leader from which on several of them have to find it silent, and how many. */
-const MANY_CALLERS = 9;
-const CORROBORATING_CALLERS = 2;
-/** Time after a handover in which no other is begun for the same kinds of reason, in milliseconds. */
-const HANDOVER_PAUSE_MS = 5000;
-/** Replicas that have to agree that they receive nothing. */
-const STALL_WITNESSES = 2;
-/** Time that replicas have to receive what the leader has, in milliseconds. */
-const STALL_LOOK_MS = 120;
-/** Promotions that follow one another at once, the replicas being paused still. */
-const REPEATS = 3;
-/** Time after a promotion was given up in which none is begun, in milliseconds. */
-const GIVEN_UP_REST_MS = 100;
-
-const LEADS_NO_LONGER = 'leader leads no longer';
+const TRANSFER_COOLDOWN_MS = 5000;
+/** Least number of replicas on which a replication stall may be concluded; all of them have to confirm it. */
+const MIN_STALLED_REPLICAS = 2;
+/** Time that replicas get to receive what the leader has, in milliseconds. */
+const STALL_CHECK_MS = 120;
+/** Most promotions that are retried at once, while the replicas are still paused. */
+const MAX_IMMEDIATE_RETRIES = 3;
+/** Delay after an abandoned promotion before the next attempt, in milliseconds. */
+const PROMOTION_RETRY_DELAY_MS = 100;
+
+const LEADER_STEPPED_DOWN = 'leader has stepped down';
 const NO_MEMBER_LEADS = 'no member leads';
 
-/** Supervises one group while this daemon holds the duty. */
+/** Supervises one group while this daemon holds the promotion duty. */
 export class GroupSupervisor {
   readonly #wake = new ChangeSignal();
   #isStopped = false;
-  readonly #doubts = new Doubts();
-  readonly #ended = new EndedMembers();
-  readonly #lost = new LostLives();
+  readonly #suspicions = new LeaderSuspicions();
+  readonly #endedMembers = new EndedMembers();
+  readonly #lostIncarnations = new LostLives();
   readonly #stepDowns = new StepDowns();
   readonly #openCalls = new OpenCalls();
   readonly #leaderLoss = new LeaderLoss();
   readonly #pauses: ReplicaPauses;
-  #isNotingEnded = false;
-  /** When a daemon was last seen to have ended, in monotonic milliseconds. */
+  #isRecordingEnded = false;
+  /** When the process of a daemon was last seen to have ended, in monotonic milliseconds. */
   #daemonEndedAtMs = Number.NEGATIVE_INFINITY;
-  #isBoundingEnds = false;
-  /** No look has been taken yet at what an earlier holder may have left paused. */
-  #isNew = true;
-  #suspected = false;
-  #lastHandoverMs = Number.NEGATIVE_INFINITY;
+  #isQueryingLogPosition = false;
+  /** True until the first check for replicas that an earlier holder of the duty may have left paused. */
+  #isFirstCheck = true;
+  #isCheckRequested = false;
+  #lastTransferMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly group: MemberGroup,
     private readonly options: GroupSupervisorOptions,
   ) {
-    this.#pauses = new ReplicaPauses(options.control, group, this.#ended, this.#lost, options.now);
+    this.#pauses = new ReplicaPauses(
+      options.control,
+      group,
+      this.#endedMembers,
+      this.#lostIncarnations,
+      options.now,
+    );
   }
 
-  /** Supervises until {@link GroupSupervisor.stop}. */
+  /** Supervises the group until {@link GroupSupervisor.stop}. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
-      const isSuspected = this.#suspected;
-      this.#suspected = false;
-      if (this.options.heldFence(DUTY_RESERVE_MS) !== null) await this.#look(isSuspected);
-      if (!this.#suspected) await this.#wake.wait(LOOK_MS);
+      const isRequested = this.#isCheckRequested;
+      this.#isCheckRequested = false;
+      if (this.options.heldFence(DUTY_RESERVE_MS) !== null) await this.#check(isRequested);
+      if (!this.#isCheckRequested) await this.#wake.wait(CHECK_INTERVAL_MS);
     }
   }
 
-  /** Somebody doubts the leader, or the directory has changed: look now. */
+  /** A daemon suspects the leader, or the directory has changed: triggers a check. */
   suspect(suspicion?: Suspicion): void {
-    if (suspicion !== undefined) this.#doubts.add(suspicion, this.options.now());
-    this.#suspected = true;
+    if (suspicion !== undefined) this.#suspicions.add(suspicion, this.options.now());
+    this.#isCheckRequested = true;
     this.#wake.notify();
   }
 
   /**
-   * A daemon has ended. What it had acknowledged is bounded by where the log of the leader stands from now on: that has to be known before the
-   * leader is lost, also where no request asks it, as after the end of its only gateway.
+   * The process of a daemon has ended. Everything that it acknowledged is at or before the leader's log
+   * position from now on. That position has to be known before the leader is lost, even if no request carries
+   * it, as after the end of the leader's only gateway.
    */
   async daemonEnded(): Promise<void> {
     this.#daemonEndedAtMs = this.options.now();
-    // One question covers all that have ended before it.
-    if (this.#isBoundingEnds) return;
-    this.#isBoundingEnds = true;
+    // One query covers all daemons that have ended before it.
+    if (this.#isQueryingLogPosition) return;
+    this.#isQueryingLogPosition = true;
     let endedAtMs = this.#daemonEndedAtMs;
-    for (let question = 0; question < LOG_QUESTIONS; question += 1) {
-      await delay(TRAFFIC_MS);
+    for (let attempt = 0; attempt < MAX_LOG_QUERIES; attempt += 1) {
+      await delay(LOG_QUERY_DELAY_MS);
       if (this.#isStopped || this.group.positions.floorSince(this.#daemonEndedAtMs) !== null) break;
-      if (endedAtMs !== this.#daemonEndedAtMs) question = 0;
+      if (endedAtMs !== this.#daemonEndedAtMs) attempt = 0;
       endedAtMs = this.#daemonEndedAtMs;
-      await this.#askLog();
+      await this.#recordLogPosition();
     }
-    this.#isBoundingEnds = false;
+    this.#isQueryingLogPosition = false;
   }
 
-  /** Asks the proven leader where its log stands. */
-  async #askLog(): Promise<void> {
+  /** Queries the log position of the proven leader and records it. */
+  async #recordLogPosition(): Promise<void> {
     const leader = this.group.leader(this.options.now());
     if (leader === null) return;
     const askedAtMs = this.options.now();
-    const position = await this.#logPosition(leader);
+    const position = await this.#queryLogPosition(leader);
     if (position !== null) this.group.recordLed(askedAtMs, position);
   }
 
-  /** Stops after what is under way. */
+  /** Stops after the current check. */
   stop(): void {
     this.#isStopped = true;
     this.#wake.notify();
   }
 
-  async #look(isSuspected: boolean): Promise<void> {
+  async #check(isRequested: boolean): Promise<void> {
     const leader = await this.#findLeader();
     if (this.#isStopped) return;
     if (leader === null) return;
-    const believed = this.group.evidence.leader;
-    if (believed !== null) this.group.learnLeader(believed, null);
-    // Who is taken for the leader only because nobody is known to lead may hold what the others lack.
-    const isGuess = this.group.evidence.leader === null && !leader.entry.saysPrimary;
+    const knownLeader = this.group.evidence.leader;
+    if (knownLeader !== null) this.group.learnLeader(knownLeader, null);
+    // A member that is taken for the leader only because none is known to lead may hold commits that the
+    // others lack, so it is not left out of the candidates.
+    const isAssumed = this.group.evidence.leader === null && !leader.entry.saysPrimary;
     if (leader.isLeaving) {
-      await this.#promote(isGuess ? null : leader, isGuess ? NO_MEMBER_LEADS : 'leader leaves');
+      await this.#promote(isAssumed ? null : leader, isAssumed ? NO_MEMBER_LEADS : 'leader leaves');
       return;
     }
-    // Not awaited: a former member that is dark must not hold up a promotion.
-    void this.#noteEnded(leader);
-    if (!isSuspected && !this.#isNew && this.#isWell(leader)) return;
-    const trouble = await this.#trouble(leader);
-    if (trouble === LEADS_NO_LONGER) await this.#replaceLost();
-    else if (trouble !== null) await this.#promote(isGuess ? null : leader, trouble);
-    else await this.#lookCloser(leader);
+    // Not awaited: an unreachable former member must not delay a promotion.
+    void this.#recordEndedMembers(leader);
+    if (!isRequested && !this.#isFirstCheck && this.#isHealthy(leader)) return;
+    const reason = await this.#replacementReason(leader);
+    if (reason === LEADER_STEPPED_DOWN) await this.#replaceSteppedDown();
+    else if (reason !== null) await this.#promote(isAssumed ? null : leader, reason);
+    else await this.#checkResponsiveLeader(leader);
   }
 
-  /** The leader answers this daemon: it may still be of no use to others, or to itself. */
-  async #lookCloser(leader: Member): Promise<void> {
+  /**
+   * The leader answers this daemon. It may still be unreachable from other daemons, fail requests, or not
+   * reach its replicas.
+   */
+  async #checkResponsiveLeader(leader: Member): Promise<void> {
     this.#leaderLoss.answered(leader.entry);
-    if (this.#isNew) {
-      this.#isNew = false;
-      if (await this.#isLeftUnfinished(leader)) return this.#promote(leader, 'an earlier promotion was left');
+    if (this.#isFirstCheck) {
+      this.#isFirstCheck = false;
+      if (await this.#hasUnfinishedPromotion(leader))
+        return this.#promote(leader, 'earlier promotion left unfinished');
     }
     const now = this.options.now();
     const { memberId } = leader.entry;
-    if (now - this.#lastHandoverMs > HANDOVER_PAUSE_MS) {
-      const without = this.#doubts.withoutLeader(memberId, this.options.callerCount(memberId), now);
-      const isStalled = this.#doubts.has('stalled', memberId, now) && (await this.#isStalled(leader));
-      if (isStalled) return this.#handOver(leader, 'commits stall');
-      if (this.#doubts.count('failing', memberId, now) >= this.#corroboration(leader))
-        return this.#handOver(leader, 'leader fails requests');
-      if (without > 0) return this.#handOver(leader, `leader out of reach of ${without} daemons`);
+    if (now - this.#lastTransferMs > TRANSFER_COOLDOWN_MS) {
+      const reporterCount = this.#suspicions.lastingReporterCount(
+        memberId,
+        this.options.callerCount(memberId),
+        now,
+      );
+      const isStalled =
+        this.#suspicions.has('stalled', memberId, now) && (await this.#isReplicationStalled(leader));
+      if (isStalled) return this.#transferLeadership(leader, 'commits are not replicated');
+      if (this.#suspicions.count('failing', memberId, now) >= this.#requiredReporters(leader))
+        return this.#transferLeadership(leader, 'leader fails requests');
+      if (reporterCount > 0)
+        return this.#transferLeadership(leader, `leader unreachable from ${reporterCount} daemons`);
     }
-    await this.#repair(leader);
+    await this.#resumeReplicas(leader);
   }
 
-  /** Finds out which former members have ended, and asks the leader then how far the log has come. */
-  async #noteEnded(leader: Member): Promise<void> {
-    const parting = this.#parting(leader);
-    this.#ended.retain(parting);
-    const unknown = parting.filter((member) => !this.#ended.has(member));
-    if ((unknown.length === 0 && !this.#lost.isLimitOpen) || this.#isNotingEnded) return;
-    this.#isNotingEnded = true;
+  /**
+   * Finds out which former members have ended, then queries the leader's log position as the bound of what
+   * they can have received.
+   */
+  async #recordEndedMembers(leader: Member): Promise<void> {
+    const departed = this.#departedMembers(leader);
+    this.#endedMembers.retain(departed);
+    const unknown = departed.filter((member) => !this.#endedMembers.has(member));
+    if ((unknown.length === 0 && !this.#lostIncarnations.isLimitOpen) || this.#isRecordingEnded) return;
+    this.#isRecordingEnded = true;
     const areEnded = await Promise.all(unknown.map((member) => this.#hasEnded(member)));
     const ended = unknown.filter((_, index) => areEnded[index]);
     const askedAtMs = this.options.now();
-    const isAsked = ended.length > 0 || this.#lost.isLimitOpen;
-    const position = isAsked ? await this.#logPosition(leader) : null;
+    const needsPosition = ended.length > 0 || this.#lostIncarnations.isLimitOpen;
+    const position = needsPosition ? await this.#queryLogPosition(leader) : null;
     if (position !== null) {
-      for (const member of ended) this.#ended.record(member, position);
-      this.#lost.record(position, askedAtMs);
+      for (const member of ended) this.#endedMembers.record(member, position);
+      this.#lostIncarnations.record(position, askedAtMs);
     }
-    if (isAsked) this.#tellEnded(ended, position);
-    this.#isNotingEnded = false;
+    if (needsPosition) this.#logEndedMembers(ended, position);
+    this.#isRecordingEnded = false;
   }
 
-  #tellEnded(ended: readonly Member[], position: Position | null): void {
+  #logEndedMembers(ended: readonly Member[], position: Position | null): void {
     this.options.log('members_ended', {
       group: this.group.name,
       members: ended.map(({ entry }) => formatIncarnation(entry)).join(','),
@@ -240,8 +270,11 @@
     });
   }
 
-  /** Former members, and those whose entry is gone: a life that is told from the next one and refuses has ended for good. */
-  #parting(leader: Member): readonly Member[] {
+  /**
+   * Former members, and members whose directory entry is gone and whose start time is known. Such an
+   * incarnation can be told from the next one, so a refused connection means that it has ended for good.
+   */
+  #departedMembers(leader: Member): readonly Member[] {
     const { members, former } = this.group;
     const unlisted = [...members.values()].filter(
       ({ entry, missingSinceMs }) => missingSinceMs !== null && entry.bornMs !== null,
@@ -250,12 +283,12 @@
   }
 
   async #hasEnded(member: Member): Promise<boolean> {
-    return member.hasEnded || (await this.#status(member)).kind === 'refused';
+    return member.hasEnded || (await this.#queryStatus(member)).kind === 'refused';
   }
 
-  /** How far the log has come, if the leader answers and is proven to lead; else `null`. */
-  async #logPosition(leader: Member): Promise<Position | null> {
-    const answer = await this.#status(leader);
+  /** The log position of the leader, if it answers and is proven to lead; else `null`. */
+  async #queryLogPosition(leader: Member): Promise<Position | null> {
+    const answer = await this.#queryStatus(leader);
     const proven = this.group.evidence.current(this.options.now());
     const isProven =
       answer.kind === 'answered' &&
@@ -265,21 +298,22 @@
     return isProven ? answer.status.received : null;
   }
 
-  async #handOver(leader: Member, reason: string): Promise<void> {
-    this.#lastHandoverMs = this.options.now();
+  async #transferLeadership(leader: Member, reason: string): Promise<void> {
+    this.#lastTransferMs = this.options.now();
     await this.#promote(leader, reason);
   }
 
   /**
-   * True when no replica receives what the leader has, and all of them answer. With one out of reach, the trouble
-   * may be the other's alone, and another leader could not have its commits acknowledged either.
+   * True when all replicas answer and none of them receives what the leader has. If a replica is unreachable,
+   * the fault may lie with the other replica alone, and another leader could not have its commits
+   * acknowledged either.
    */
-  async #isStalled(leader: Member): Promise<boolean> {
-    const first = await this.#status(leader);
-    const others = this.#others(leader);
-    if (first.kind !== 'answered' || others.length < STALL_WITNESSES) return false;
-    await delay(STALL_LOOK_MS);
-    const answers = await Promise.all(others.map((member) => this.#status(member)));
+  async #isReplicationStalled(leader: Member): Promise<boolean> {
+    const first = await this.#queryStatus(leader);
+    const others = this.#otherMembers(leader);
+    if (first.kind !== 'answered' || others.length < MIN_STALLED_REPLICAS) return false;
+    await delay(STALL_CHECK_MS);
+    const answers = await Promise.all(others.map((member) => this.#queryStatus(member)));
     let furthest: Position = ZERO_POSITION;
     for (const answer of answers) {
       if (answer.kind !== 'answered') return false;
@@ -288,38 +322,44 @@
     return !hasReached(furthest, first.status.received);
   }
 
-  /** True while the leader answers ordinary requests and there is evidence of its lead. */
-  #isWell(leader: Member): boolean {
+  /** True while the leader answers ordinary requests and there is valid evidence of its leadership. */
+  #isHealthy(leader: Member): boolean {
     const now = this.options.now();
-    const isLed = this.group.evidence.current(now)?.memberId === leader.entry.memberId;
-    return isLed && now - leader.answeredAtMs < LOOK_MS;
+    const hasEvidence = this.group.evidence.current(now)?.memberId === leader.entry.memberId;
+    return hasEvidence && now - leader.answeredAtMs < CHECK_INTERVAL_MS;
   }
 
-  /** The leader denies its lead: finds the member that leads instead, or promotes any of them. */
-  async #replaceLost(): Promise<void> {
+  /**
+   * The leader reports that it no longer leads: looks for the member that leads instead, or promotes any of
+   * them.
+   */
+  async #replaceSteppedDown(): Promise<void> {
     this.group.evidence.loseLeader();
     const members = [...this.group.members.values()];
-    const statuses = await Promise.all(members.map((member) => this.#status(member)));
-    let isLed = false;
+    const statuses = await Promise.all(members.map((member) => this.#queryStatus(member)));
+    let hasLeader = false;
     members.forEach((member, index) => {
       const answer = statuses[index];
       if (member.hasEnded || answer?.kind !== 'answered' || !answer.status.isPrimary) return;
-      isLed = true;
+      hasLeader = true;
       this.group.learnLeader(
         { memberId: member.entry.memberId, term: answer.status.term },
         answer.status.received,
       );
     });
     this.group.changed.notify();
-    if (!isLed && members.length > 0) await this.#promote(null, NO_MEMBER_LEADS);
+    if (!hasLeader && members.length > 0) await this.#promote(null, NO_MEMBER_LEADS);
   }
 
-  /** The member that leads or led last; asks all members when nothing is known. */
+  /**
+   * The member that leads or led last. Asks all members when no leader is known, and falls back to a member
+   * whose directory entry claims leadership, or to the first one.
+   */
   async #findLeader(): Promise<Member | null> {
-    const believed = this.group.evidence.leader;
-    if (believed !== null) return this.#memberOf(believed.memberId);
+    const knownLeader = this.group.evidence.leader;
+    if (knownLeader !== null) return this.#findMember(knownLeader.memberId);
     const members = [...this.group.members.values()];
-    const statuses = await Promise.all(members.map((member) => this.#status(member)));
+    const statuses = await Promise.all(members.map((member) => this.#queryStatus(member)));
     let leader: Member | null = null;
     members.forEach((member, index) => {
       const answer = statuses[index];
@@ -328,58 +368,59 @@
         { memberId: member.entry.memberId, term: answer.status.term },
         answer.status.received,
       );
-      leader = this.#memberOf(this.group.evidence.leader?.memberId ?? '');
+      leader = this.#findMember(this.group.evidence.leader?.memberId ?? '');
     });
     if (leader !== null) return leader;
     const claimant = members.find((member) => member.entry.saysPrimary);
     return claimant ?? members[0] ?? null;
   }
 
-  /** Why the leader has to be replaced, or `null`. */
-  async #trouble(leader: Member): Promise<string | null> {
+  /** The reason for which the leader has to be replaced, or `null`. */
+  async #replacementReason(leader: Member): Promise<string | null> {
     const askedAtMs = this.options.now();
     let kind = 'silent';
-    const isManyCallers = this.#corroboration(leader) > 1;
+    const hasManyClientDaemons = this.#requiredReporters(leader) > 1;
     for (
       let attempt = 0;
-      attempt < (kind === 'slow' && isManyCallers ? SLOW_SIGNS : LIFE_SIGNS);
+      attempt < (kind === 'slow' && hasManyClientDaemons ? SLOW_PROBE_ATTEMPTS : PROBE_ATTEMPTS);
       attempt += 1
     ) {
-      const answer = await this.options.control.ask(leader, { kind: 'status' }, LIFE_SIGN_MS);
-      if (answer.kind === 'answered') return answer.status.isPrimary ? null : LEADS_NO_LONGER;
+      const answer = await this.options.control.ask(leader, { kind: 'status' }, PROBE_TIMEOUT_MS);
+      if (answer.kind === 'answered') return answer.status.isPrimary ? null : LEADER_STEPPED_DOWN;
       if (answer.kind === 'busy' || leader.answeredAtMs > askedAtMs) return null;
       kind = answer.kind;
     }
     if (kind === 'refused') this.#leaderLoss.refused(leader.entry, askedAtMs);
-    else if (this.#isAloneInDoubt(leader, kind)) return null;
+    else if (this.#isUncorroborated(leader, kind)) return null;
     return `leader is ${kind}`;
   }
 
   /**
-   * True when a leader with many callers is silent to this daemon alone: it may be that it only keeps new connections
-   * waiting. Where others hold the connections for all, one that only keeps a new connection waiting is taken for hung
-   * when an open one is silent, too.
+   * True when too few daemons have reported a leader that does not answer this daemon. A leader with many
+   * client daemons may only delay new connections. Where gateways hold the connections for all daemons, a
+   * leader that delays a new connection is taken for hung only if an open connection does not answer either.
    */
-  #isAloneInDoubt(leader: Member, kind: string): boolean {
+  #isUncorroborated(leader: Member, kind: string): boolean {
     const { memberId } = leader.entry;
-    const corroboration = this.#corroboration(leader);
-    const mustBeSeenByOthers = kind === 'slow' && this.options.isLent(memberId);
-    if (corroboration === 1 && !mustBeSeenByOthers) return false;
-    return this.#doubts.count('silent', memberId, this.options.now()) < corroboration;
+    const requiredReporters = this.#requiredReporters(leader);
+    const needsOtherReporter = kind === 'slow' && this.options.isLent(memberId);
+    if (requiredReporters === 1 && !needsOtherReporter) return false;
+    return this.#suspicions.count('silent', memberId, this.options.now()) < requiredReporters;
   }
 
-  /** Daemons that have to agree on a doubt. */
-  #corroboration(leader: Member): number {
-    const isManyCallers = this.options.callerCount(leader.entry.memberId) >= MANY_CALLERS;
-    return isManyCallers ? CORROBORATING_CALLERS : 1;
+  /** Number of daemons that have to report the same suspicion. */
+  #requiredReporters(leader: Member): number {
+    const hasManyClientDaemons = this.options.callerCount(leader.entry.memberId) >= MANY_CLIENT_DAEMONS;
+    return hasManyClientDaemons ? REQUIRED_REPORTERS : 1;
   }
 
   /**
-   * True when an earlier holder of the duty has left replicas paused: the platform may still act on its call, and resumed replicas would
-   * let commits pass by the member that it names. Not so where that is the leader, and it holds all that they do.
+   * True when an earlier holder of the duty has left replicas paused. The platform may still act on that
+   * holder's call, and resumed replicas would allow commits that the member named in the call does not
+   * receive. False if that member is the leader and holds all that the paused replicas hold.
    */
-  async #isLeftUnfinished(leader: Member): Promise<boolean> {
-    const answers = await Promise.all(this.#others(leader).map((member) => this.#status(member)));
+  async #hasUnfinishedPromotion(leader: Member): Promise<boolean> {
+    const answers = await Promise.all(this.#otherMembers(leader).map((member) => this.#queryStatus(member)));
     const paused = answers.flatMap((answer) =>
       answer.kind === 'answered' && answer.status.pausedForTerm !== 0 ? [answer.status] : [],
     );
@@ -388,49 +429,50 @@
     const call = this.group.calls.open(now);
     if (call?.memberId !== leader.entry.memberId) return true;
     this.#openCalls.recordEarlier(call, now);
-    const lead = await this.#status(leader);
-    if (lead.kind !== 'answered' || !lead.status.isPrimary) return true;
-    return !paused.every(({ received }) => hasReached(lead.status.received, received));
+    const leaderAnswer = await this.#queryStatus(leader);
+    if (leaderAnswer.kind !== 'answered' || !leaderAnswer.status.isPrimary) return true;
+    return !paused.every(({ received }) => hasReached(leaderAnswer.status.received, received));
   }
 
-  /** Lets replicas go on that a promotion given up left paused. */
-  async #repair(leader: Member): Promise<void> {
+  /** Resumes replicas that were left paused by an abandoned promotion. */
+  async #resumeReplicas(leader: Member): Promise<void> {
     const now = this.options.now();
     if (this.group.evidence.current(now)?.memberId === leader.entry.memberId) return;
-    for (const member of this.#others(leader)) {
-      const answer = await this.#status(member);
+    for (const member of this.#otherMembers(leader)) {
+      const answer = await this.#queryStatus(member);
       if (answer.kind !== 'answered' || answer.status.pausedForTerm === 0) continue;
       this.options.log('replica_resumed', { group: this.group.name, member: member.entry.memberId });
-      await this.options.control.ask(member, { kind: 'resume' }, STATUS_MS);
+      await this.options.control.ask(member, { kind: 'resume' }, STATUS_TIMEOUT_MS);
     }
   }
 
   /** @param leader - the member to be replaced; `null` when every member may succeed */
   async #promote(leader: Member | null, reason: string): Promise<void> {
-    if (this.#others(leader).length === 0) return;
-    this.#doubts.clear();
-    /** Whoever led: what they hold was received by others, or is of no use. */
+    if (this.#otherMembers(leader).length === 0) return;
+    this.#suspicions.clear();
+    /** Members that have led: what they hold was received by others, or was never acknowledged. */
     const deposed = new Set<Member>(leader === null ? [] : [leader]);
     const { evidence, lastLed } = this.group;
-    const led = { lastTerm: evidence.leader?.term ?? evidence.minimumTerm, lastLed };
-    let outcome = await this.#promotion(leader, reason, deposed, led).run();
-    for (let repeat = 0; outcome.kind === 'again' && repeat < REPEATS; repeat += 1) {
+    const lastLeadership = { lastTerm: evidence.leader?.term ?? evidence.minimumTerm, lastLed };
+    let outcome = await this.#createPromotion(leader, reason, deposed, lastLeadership).run();
+    for (let retry = 0; outcome.kind === 'again' && retry < MAX_IMMEDIATE_RETRIES; retry += 1) {
       if (outcome.leader !== null) deposed.add(outcome.leader);
-      outcome = await this.#promotion(outcome.leader, outcome.reason, deposed, led).run();
+      outcome = await this.#createPromotion(outcome.leader, outcome.reason, deposed, lastLeadership).run();
     }
     if (outcome.kind !== 'led') {
-      await delay(GIVEN_UP_REST_MS);
+      await delay(PROMOTION_RETRY_DELAY_MS);
       return;
     }
-    // A former member leads only until another has its log: no daemon gives it work.
-    if (!this.group.members.has(outcome.leader.entry.memberId)) this.#suspected = true;
+    // A former member leads only until another has its log: daemons route no requests to it. The next check
+    // replaces it.
+    if (!this.group.members.has(outcome.leader.entry.memberId)) this.#isCheckRequested = true;
   }
 
-  #promotion(
+  #createPromotion(
     leader: Member | null,
     reason: string,
     deposed: ReadonlySet<Member>,
-    led: Pick<PromotionPorts, 'lastTerm' | 'lastLed'>,
+    lastLeadership: Pick<PromotionPorts, 'lastTerm' | 'lastLed'>,
   ): Promotion {
     const ports = {
       group: this.group,
@@ -439,36 +481,39 @@
       stepDowns: this.#stepDowns,
       openCalls: this.#openCalls,
       leaderLoss: this.#leaderLoss,
-      ...led,
+      ...lastLeadership,
       others: () =>
-        this.#others(leader).filter((member) => !deposed.has(member) && !this.#isEndedLeader(member)),
-      fence: (reserveMs: number) => this.#fence(reserveMs),
+        this.#otherMembers(leader).filter((member) => !deposed.has(member) && !this.#isEndedLeader(member)),
+      fence: (reserveMs: number) => this.#currentFence(reserveMs),
     };
     return new Promotion(ports, leader, reason);
   }
 
-  /** The life that led last, and has ended: what it had acknowledged was received by another. */
+  /** The incarnation that led last, and has ended: what it acknowledged was received by another member. */
   #isEndedLeader(member: Member): boolean {
     return member.hasEnded && member === this.group.ledBy(this.group.evidence.minimumTerm);
   }
 
-  /** The fence while this supervision acts under the duty; one that was stopped acts no more, though the duty may be back. */
-  #fence(reserveMs: number): number | null {
+  /**
+   * The fencing token while this supervisor runs. A supervisor that was stopped takes no further action, even
+   * if this daemon holds the duty again.
+   */
+  #currentFence(reserveMs: number): number | null {
     return this.#isStopped ? null : this.options.heldFence(reserveMs);
   }
 
-  async #status(member: Member): Promise<ControlAnswer> {
-    const answer = await this.options.control.ask(member, { kind: 'status' }, STATUS_MS);
+  async #queryStatus(member: Member): Promise<ControlAnswer> {
+    const answer = await this.options.control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS);
     if (answer.kind === 'answered' && !answer.status.isPrimary)
-      this.#lost.heard(member, answer.status, this.options.now());
+      this.#lostIncarnations.heard(member, answer.status, this.options.now());
     return answer;
   }
 
-  #memberOf(memberId: string): Member | null {
+  #findMember(memberId: string): Member | null {
     return this.group.members.get(memberId) ?? this.group.formerOf(memberId);
   }
 
-  #others(leader: Member | null): readonly Member[] {
+  #otherMembers(leader: Member | null): readonly Member[] {
     const { members, former } = this.group;
     return [...members.values(), ...former.values()].filter((member) => member !== leader);
   }
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -9,7 +9,7 @@
 import { comparePositions, ZERO_POSITION, type Position } from '../position/position.js';
 import { joinAcknowledged, type Acknowledged } from './acknowledged.js';
 import { chooseSuccessor } from './choose-successor.js';
-import { Doubts } from './doubts.js';
+import { LeaderSuspicions } from './leader-suspicions.js';
 import { EVIDENCE_MS, LeadershipEvidence, REVOCATION_MS } from './leadership-evidence.js';
 import { PositionHistory } from './position-history.js';
 import { MemberGroup } from '../topology/member-group.js';
@@ -299,25 +299,25 @@
   });
 
   test('one daemon, or a short time, is not enough to replace a leader that answers', () => {
-    const doubts = new Doubts();
+    const doubts = new LeaderSuspicions();
     for (let now = 0; now <= 900; now += 100) doubts.add(doubt('d1'), now);
-    assert.equal(doubts.withoutLeader('a', 6, 900), 0);
+    assert.equal(doubts.lastingReporterCount('a', 6, 900), 0);
     for (let now = 900; now <= 1300; now += 100) doubts.add(doubt('d2'), now);
-    assert.equal(doubts.withoutLeader('a', 6, 1300), 0);
+    assert.equal(doubts.lastingReporterCount('a', 6, 1300), 0);
   });
 
   test('a lasting doubt of enough daemons is', () => {
-    const doubts = new Doubts();
+    const doubts = new LeaderSuspicions();
     for (let now = 0; now <= 600; now += 100)
       for (const reporter of ['d1', 'd2']) doubts.add(doubt(reporter), now);
-    assert.equal(doubts.withoutLeader('a', 6, 600), 2);
-    assert.equal(doubts.withoutLeader('a', 10, 600), 0, 'two of ten are too few');
-    assert.equal(doubts.withoutLeader('b', 6, 600), 0, 'another member is not meant');
-    assert.equal(doubts.withoutLeader('a', 6, 1200), 0, 'doubts pass');
+    assert.equal(doubts.lastingReporterCount('a', 6, 600), 2);
+    assert.equal(doubts.lastingReporterCount('a', 10, 600), 0, 'two of ten are too few');
+    assert.equal(doubts.lastingReporterCount('b', 6, 600), 0, 'another member is not meant');
+    assert.equal(doubts.lastingReporterCount('a', 6, 1200), 0, 'doubts pass');
   });
 
   test('a doubt is for its reason', () => {
-    const doubts = new Doubts();
+    const doubts = new LeaderSuspicions();
     doubts.add(doubt('d1', 'stalled'), 100);
     assert.ok(doubts.has('stalled', 'a', 200));
     assert.ok(!doubts.has('silent', 'a', 200));
--- a/src/leadership/lost-lives.ts
+++ b/src/leadership/lost-lives.ts
@@ -1,10 +1,11 @@
 /**
- * Members that have started again without a word: their positions tell.
+ * Detects members that have restarted without reporting a new start time, by their log positions.
  *
- * A member that starts again under its id may hold nothing of what its earlier life had received, and a commit may have been
- * acknowledged on the word of that life alone. It answers all the same, as if nothing were missing. A log that has become shorter,
- * or is empty, gives it away. What was lost is at or before the position that the leader gives afterwards: a replica that has
- * come so far holds it, too.
+ * A member that restarts under its id may have lost what its earlier incarnation had received, and a commit
+ * may have been acknowledged because that incarnation alone had received it. The restarted member answers as
+ * if nothing were missing. The loss shows when its log has become shorter or is empty. Everything that was
+ * lost is at or before the position that the leader reports afterwards, so a replica that has reached that
+ * position holds it, too.
  *
  * @packageDocumentation
  */
@@ -13,62 +14,65 @@
 import type { Incarnation } from '../topology/incarnation.js';
 import type { Member } from '../topology/member-group.js';
 
-/** For how long a life that was lost is counted as missing at most, in milliseconds: as long as one whose entry is gone. */
-const COUNTED_MS = 30_000;
+/**
+ * Longest time for which a lost incarnation counts as missing, in milliseconds: as long as a member whose
+ * directory entry is gone.
+ */
+const LOSS_TTL_MS = 30_000;
 
-/** How far a member had come when it was heard last, and the term that it followed. */
-interface Heard {
+/** The last known position of a member, and the term that it followed. */
+interface LastStatus {
   readonly received: Position;
   readonly term: number;
 }
 
-/** An earlier life of a member of which nobody knows what it had received. */
-interface Loss {
+/** An earlier incarnation of a member whose last position is unknown. */
+interface LostIncarnation {
   readonly member: Incarnation;
   readonly sinceMs: number;
-  /** How far the log had come after it; `null` while the leader has not been asked. */
+  /** A position of the leader after the loss; `null` until the leader has been queried. */
   limit: Position | null;
 }
 
-/** What one supervisor has noticed of lives that were lost. */
+/** The lost incarnations that one supervisor has detected. */
 export class LostLives {
-  readonly #heard = new Map<string, Heard>();
-  readonly #losses = new Map<string, Loss>();
+  readonly #lastStatus = new Map<string, LastStatus>();
+  readonly #losses = new Map<string, LostIncarnation>();
 
-  /** A member that does not lead has told its status. */
+  /** Records the status of a member that does not lead, and detects a loss. */
   heard(member: Member, { received, term }: MemberStatus, nowMs: number): void {
     const { memberId } = member.entry;
-    const known = this.#heard.get(memberId);
-    this.#heard.set(memberId, { received, term });
-    if (isShorter(received, term, known))
+    const known = this.#lastStatus.get(memberId);
+    this.#lastStatus.set(memberId, { received, term });
+    if (hasLostEntries(received, term, known))
       this.#losses.set(memberId, { member: member.entry, sinceMs: nowMs, limit: null });
   }
 
-  /** True while the leader has to be asked how far the log has come. */
+  /** True while the leader has to be queried for its log position. */
   get isLimitOpen(): boolean {
     return [...this.#losses.values()].some(({ limit }) => limit === null);
   }
 
-  /** The proven leader, asked at `askedAtMs`, gave a position: it bounds what was lost before. */
+  /** The proven leader, queried at `askedAtMs`, reported a position. It bounds what was lost before. */
   record(position: Position, askedAtMs: number): void {
     for (const loss of this.#losses.values()) if (loss.sinceMs <= askedAtMs) loss.limit ??= position;
   }
 
   /**
-   * Members whose earlier life may have received more than all that are given with what they have received.
+   * Members whose earlier incarnation may have received more than the furthest of the given positions.
    *
-   * @param leaderId - who led: what its earlier life had acknowledged was received by another
+   * @param leaderId - the member that led: what its earlier incarnation acknowledged was received by another
    */
   uncovered(received: readonly Position[], leaderId: string | null, nowMs: number): readonly Incarnation[] {
     const furthest = received.reduce<Position | null>(
       (best, position) => (best === null ? position : laterPosition(best, position)),
       null,
     );
-    // A group that holds nothing has lost nothing.
+    // A group without any entries has lost nothing.
     if (furthest === null || isEmpty(furthest)) return [];
     for (const [memberId, { sinceMs, limit }] of this.#losses) {
-      const isOver = nowMs - sinceMs >= COUNTED_MS;
-      if (isOver || (limit !== null && hasReached(furthest, limit))) this.#losses.delete(memberId);
+      const isExpired = nowMs - sinceMs >= LOSS_TTL_MS;
+      if (isExpired || (limit !== null && hasReached(furthest, limit))) this.#losses.delete(memberId);
     }
     const lost = [...this.#losses.values()].map(({ member }) => member);
     return lost.filter(({ memberId }) => memberId !== leaderId);
@@ -79,8 +83,11 @@
   return index === 0;
 }
 
-/** True when a log has become shorter by anything but a promotion, which takes back what the new leader lacks. */
-function isShorter(received: Position, term: number, known: Heard | undefined): boolean {
+/**
+ * True when a log has become shorter for another reason than a promotion, which truncates what the new leader
+ * lacks.
+ */
+function hasLostEntries(received: Position, term: number, known: LastStatus | undefined): boolean {
   if (known === undefined) return isEmpty(received);
   if (comparePositions(received, known.received) >= 0) return false;
   return isEmpty(received) || term <= known.term;
--- a/src/leadership/supervision.ts
+++ b/src/leadership/supervision.ts
@@ -1,5 +1,5 @@
 /**
- * Supervises all groups while this daemon holds the promotion duty.
+ * The supervisors of all groups while this daemon holds the promotion duty.
  *
  * @packageDocumentation
  */
@@ -7,21 +7,21 @@
 import type { MemberGroup } from '../topology/member-group.js';
 import { GroupSupervisor, type GroupSupervisorOptions } from './group-supervisor.js';
 
-/** What the supervision needs for each group. */
+/** Dependencies of {@link Supervision}. */
 export interface SupervisionOptions {
-  /** What the supervisor of a group is given. */
+  /** Options for the supervisor of a group. */
   supervisorOptions(group: MemberGroup): GroupSupervisorOptions;
-  /** Sees to a loop that must not end with an error. */
+  /** Runs a loop that must not end with an error. */
   runForever(loop: Promise<void>): void;
 }
 
-/** The supervisors of the groups; none while the duty is not held. */
+/** The supervisors of the groups, by group name; none while the duty is not held. */
 export class Supervision {
   readonly #supervisors = new Map<string, GroupSupervisor>();
 
   constructor(private readonly options: SupervisionOptions) {}
 
-  /** Supervises a group from now on, in place of whoever did. */
+  /** Starts a supervisor for a group, in place of an earlier one. */
   begin(group: MemberGroup): void {
     this.end(group.name);
     const supervisor = new GroupSupervisor(group, this.options.supervisorOptions(group));
@@ -29,23 +29,23 @@
     this.options.runForever(supervisor.run());
   }
 
-  /** Ends the supervision of a group after what is under way. */
+  /** Stops the supervisor of a group after its current check. */
   end(groupName: string): void {
     this.#supervisors.get(groupName)?.stop();
     this.#supervisors.delete(groupName);
   }
 
-  /** Ends the supervision of all groups: the duty is lost. */
+  /** Stops all supervisors: the duty is lost. */
   endAll(): void {
     for (const name of [...this.#supervisors.keys()]) this.end(name);
   }
 
-  /** A daemon has ended, and has forgotten what it acknowledged in any group. */
+  /** The process of a daemon has ended, and with it the record of what it acknowledged in each group. */
   daemonEnded(): void {
     for (const supervisor of this.#supervisors.values()) void supervisor.daemonEnded();
   }
 
-  /** Somebody doubts the leader of a group, or its members have changed. */
+  /** A daemon suspects the leader of a group, or the members of the group have changed. */
   suspect(groupName: string, suspicion?: Suspicion): void {
     this.#supervisors.get(groupName)?.suspect(suspicion);
   }
