--- a/src/leadership/evidence-exchange.ts
+++ b/src/leadership/evidence-exchange.ts
@@ -1,54 +1,56 @@
 /**
- * Evidence as daemons send it to each other. Who leads seldom changes, while ages do all the time: so the leaders are sent
- * once over each connection, and after that only their ages until they change.
+ * Encoding of leadership evidence between daemons. Leaders seldom change, while the age of the evidence
+ * changes all the time, so the list of leaders is sent once over each connection, and after that only the
+ * ages until the list changes.
  *
  * @packageDocumentation
  */
 import type { Position } from '../position/position.js';
 import type { Leader } from './leadership-evidence.js';
 
-/** Evidence that a daemon has, with its age when the answer was made. */
+/** Evidence of a daemon, with its age when the reply was made. */
 export interface SharedEvidence {
   readonly groupName: string;
   readonly memberId: string;
   readonly term: number;
-  /** What the leader has said that it holds, as far as the daemon knew when it listed the leaders. */
+  /**
+   * The log position that the leader has reported, as far as the daemon knew it when it listed the leaders.
+   */
   readonly held: Position | null;
-  /** Time since the witness was asked, in milliseconds. */
+  /** Time since the witness was queried, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** The leader of a group. */
 interface GroupLeader extends Leader {
   readonly groupName: string;
   readonly held: Position | null;
 }
 
-/** Evidence as it is sent. */
+/** A reply with evidence, as it is sent. */
 export interface EvidenceAnswer {
-  /** Number of the list of leaders; rises when the list changes. */
+  /** Version of the list of leaders; rises when the list changes. */
   readonly version: number;
-  /** The leaders, or `null` when whoever asks has this version of them. */
+  /** The leaders, or `null` when the requester has this version of the list. */
   readonly leaders: readonly GroupLeader[] | null;
-  /** Ages in the order of the leaders, in milliseconds. */
+  /** Ages of the evidence in the order of the leaders, in milliseconds. */
   readonly agesMs: readonly number[];
 }
 
-/** Version of whoever has no list yet. */
+/** Version that a requester without a list sends. */
 const NO_VERSION = 0;
 
-/** Answers questions for evidence of one daemon. */
+/** Builds the replies of one daemon to requests for evidence. */
 export class EvidenceAnswers {
   #version = NO_VERSION;
   #leaders: readonly GroupLeader[] = [];
 
-  /** @param evidence - what the daemon can prove now */
+  /** @param evidence - the valid evidence of the daemon at the time of a request */
   constructor(private readonly evidence: () => readonly SharedEvidence[]) {}
 
-  /** @param knownVersion - of the leaders that whoever asks has been sent */
+  /** @param knownVersion - version of the list of leaders that the requester has */
   answer(knownVersion: number): EvidenceAnswer {
     const entries = this.evidence();
-    if (this.#version === NO_VERSION || !this.#isListed(entries)) {
+    if (this.#version === NO_VERSION || !this.#matchesLeaders(entries)) {
       this.#version += 1;
       this.#leaders = entries.map(({ groupName, memberId, term, held }) => ({
         groupName,
@@ -61,7 +63,7 @@
     return { version: this.#version, leaders, agesMs: entries.map(({ ageMs }) => ageMs) };
   }
 
-  #isListed(entries: readonly SharedEvidence[]): boolean {
+  #matchesLeaders(entries: readonly SharedEvidence[]): boolean {
     if (entries.length !== this.#leaders.length) return false;
     return entries.every(({ groupName, memberId, term }, index) => {
       const listed = this.#leaders[index];
@@ -70,17 +72,17 @@
   }
 }
 
-/** Reads the answers of one daemon over one connection. */
+/** Decodes the replies of one daemon over one connection. */
 export class EvidenceReader {
   #version = NO_VERSION;
   #leaders: readonly GroupLeader[] = [];
 
-  /** Version of the leaders that are known: goes with each question. */
+  /** Version of the list of leaders that this side has; sent with each request. */
   get knownVersion(): number {
     return this.#version;
   }
 
-  /** The evidence of an answer; none when its leaders are not known. */
+  /** The evidence in a reply; empty when the list of leaders that it refers to is not known. */
   read({ version, leaders, agesMs }: EvidenceAnswer): readonly SharedEvidence[] {
     if (leaders !== null) {
       this.#version = version;
--- a/src/leadership/evidence-sharing.ts
+++ b/src/leadership/evidence-sharing.ts
@@ -1,8 +1,9 @@
 /**
- * Takes evidence of leaders from other daemons, so that few of them ask witnesses.
+ * Obtains leadership evidence from other daemons, so that only few daemons query the witnesses.
  *
- * The holder of the promotion duty is asked first. Without one, a large fleet asks a few daemons, the same for all,
- * that alone question the members: the members' slots and connections are scarce.
+ * The holder of the promotion duty is asked first. While it does not answer, a large fleet asks a few
+ * collectors, which are the same for all daemons and alone query the members: the slots and connections of
+ * members are scarce.
  *
  * @packageDocumentation
  */
@@ -10,74 +11,82 @@
 import { delay } from '../common/signal.js';
 import type { MemberGroup } from '../topology/member-group.js';
 import type { SharedEvidence } from './evidence-exchange.js';
-import { EVIDENCE_MS, SHARING_MS } from './leadership-evidence.js';
+import { EVIDENCE_MS, EVIDENCE_REQUEST_INTERVAL_MS } from './leadership-evidence.js';
 
-/** Longest wait for evidence of another daemon, in milliseconds. */
+/** Timeout of a request for evidence to another daemon, in milliseconds. */
 const SHARING_TIMEOUT_MS = 200;
-/** Time between questions while a group has no evidence, in milliseconds. */
-const MISSING_MS = 80;
+/** Least time between requests while a group has no evidence, in milliseconds. */
+const RETRY_MS = 80;
 /**
- * The same for each daemon of the fleet, in milliseconds: all may miss evidence at the same time, and one daemon answers a
- * thousand questions a second on a part of a small core.
+ * Time between such requests per daemon of the fleet, in milliseconds: all daemons may lack evidence at the
+ * same time, and one daemon answers a thousand requests a second on a part of a small core.
  */
-const MISSING_MS_EACH = 1;
-/** Time without evidence after which a daemon asks the members itself, whoever else does, in milliseconds. */
-const PATIENCE_MS = 1200;
+const RETRY_MS_PER_DAEMON = 1;
+/**
+ * Time without evidence after which a daemon queries the members itself, even if collectors exist, in
+ * milliseconds.
+ */
+const DIRECT_QUERY_AFTER_MS = 1200;
 
-/** What the sharing needs. */
+/** Dependencies of {@link EvidenceSharing}. */
 export interface EvidenceSharingOptions {
   readonly ownName: string;
   readonly zone: string;
   groups(): readonly MemberGroup[];
-  /** Number of daemons that take part in the work. */
+  /** Number of live daemons. */
   fleetSize(): number;
-  /** The daemons that question members on behalf of all; `null` when everybody does. */
+  /**
+   * The collectors: daemons that query the members on behalf of all; `null` when every daemon queries them.
+   */
   askers(): readonly DaemonRecord[] | null;
   holdsDuty(): boolean;
-  /** Asks the holder of the duty; `null` when there is none or it does not answer. */
+  /** Requests the evidence of the holder of the duty; `null` when there is none or it does not answer. */
   askHolder(timeoutMs: number): Promise<readonly SharedEvidence[] | null>;
-  /** Asks another daemon. */
+  /** Requests the evidence of another daemon. */
   askDaemon(record: DaemonRecord, timeoutMs: number): Promise<readonly SharedEvidence[] | null>;
-  /** There is evidence of a group's leader after there was none. */
+  /** A group has evidence of its leader after it had none. */
   gained(group: MemberGroup): void;
   now(): number;
   random(): number;
 }
 
-/** One daemon's part in sharing evidence. */
+/** Exchanges leadership evidence between this daemon and others. */
 export class EvidenceSharing {
   #isStopped = false;
-  #withoutSinceMs = new Map<string, number>();
-  /** The last question to the holder of the duty went without an answer. */
-  #isHolderSilent = false;
+  #missingSinceMs = new Map<string, number>();
+  /** True when the last request to the holder of the duty was not answered. */
+  #isHolderUnresponsive = false;
 
   constructor(private readonly options: EvidenceSharingOptions) {}
 
-  /** True when this daemon questions members itself to renew its evidence of a group. */
+  /** True when this daemon queries the members itself to renew its evidence of a group. */
   asksWitnesses(group: MemberGroup): boolean {
     if (this.options.holdsDuty() || this.isAsker()) return true;
     const now = this.options.now();
     if (group.evidence.current(now) !== null) {
-      this.#withoutSinceMs.delete(group.name);
+      this.#missingSinceMs.delete(group.name);
       return false;
     }
-    const since = this.#withoutSinceMs.get(group.name);
-    if (since === undefined) this.#withoutSinceMs.set(group.name, now);
-    return since !== undefined && now - since > PATIENCE_MS;
+    const since = this.#missingSinceMs.get(group.name);
+    if (since === undefined) this.#missingSinceMs.set(group.name, now);
+    return since !== undefined && now - since > DIRECT_QUERY_AFTER_MS;
   }
 
-  /** True when this daemon questions members on behalf of others. */
+  /** True when this daemon is a collector, which queries the members on behalf of others. */
   isAsker(): boolean {
-    const askers = this.options.askers();
-    return askers === null || askers.some(({ name }) => name === this.options.ownName);
+    const collectors = this.options.askers();
+    return collectors === null || collectors.some(({ name }) => name === this.options.ownName);
   }
 
-  /** True while others live on the evidence that this daemon gathers from members: it has to be fresh when they ask. */
+  /**
+   * True while other daemons depend on the evidence that this collector gathers from members: it has to be
+   * fresh when they request it.
+   */
   get isReliedOn(): boolean {
-    return this.#isHolderSilent && this.options.askers() !== null && this.isAsker();
+    return this.#isHolderUnresponsive && this.options.askers() !== null && this.isAsker();
   }
 
-  /** What this daemon can prove to others. */
+  /** The valid evidence of this daemon. */
   ownEvidence(): readonly SharedEvidence[] {
     const now = this.options.now();
     const entries: SharedEvidence[] = [];
@@ -90,60 +99,62 @@
     return entries;
   }
 
-  /** Asks for evidence until {@link EvidenceSharing.stop}. */
+  /** Requests evidence until {@link EvidenceSharing.stop}. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
-      await delay(this.#isMissing() ? this.#missingMs() : SHARING_MS);
+      await delay(this.#isEvidenceMissing() ? this.#retryMs() : EVIDENCE_REQUEST_INTERVAL_MS);
       if (this.options.holdsDuty()) continue;
-      await this.#askOnce();
+      await this.#requestEvidence();
     }
   }
 
-  /** Stops asking. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  #missingMs(): number {
-    const fairMs = this.options.fleetSize() * MISSING_MS_EACH;
-    return Math.min(SHARING_MS, Math.max(MISSING_MS, fairMs));
+  #retryMs(): number {
+    const fleetMs = this.options.fleetSize() * RETRY_MS_PER_DAEMON;
+    return Math.min(EVIDENCE_REQUEST_INTERVAL_MS, Math.max(RETRY_MS, fleetMs));
   }
 
-  #isMissing(): boolean {
+  #isEvidenceMissing(): boolean {
     const now = this.options.now();
     return this.options.groups().some(({ evidence }) => evidence.current(now) === null);
   }
 
-  /** Asks the holder of the duty, and another daemon where it does not answer, or did not the last time. */
-  async #askOnce(): Promise<void> {
-    if (this.#isHolderSilent) {
-      await Promise.all([this.#askHolder(), this.#askAsker()]);
+  /**
+   * Asks the holder of the duty, and a collector if the holder does not answer or did not answer the last
+   * time.
+   */
+  async #requestEvidence(): Promise<void> {
+    if (this.#isHolderUnresponsive) {
+      await Promise.all([this.#askHolder(), this.#askCollector()]);
       return;
     }
     await this.#askHolder();
-    if (this.#isHolderSilent) await this.#askAsker();
+    if (this.#isHolderUnresponsive) await this.#askCollector();
   }
 
   async #askHolder(): Promise<void> {
     const askedAtMs = this.options.now();
     const entries = await this.options.askHolder(SHARING_TIMEOUT_MS);
-    this.#isHolderSilent = entries === null;
-    for (const entry of entries ?? []) this.#adopt(entry, askedAtMs);
+    this.#isHolderUnresponsive = entries === null;
+    for (const entry of entries ?? []) this.#recordEvidence(entry, askedAtMs);
   }
 
-  async #askAsker(): Promise<void> {
+  async #askCollector(): Promise<void> {
     const askedAtMs = this.options.now();
-    const askers = this.options.askers()?.filter(({ name }) => name !== this.options.ownName) ?? [];
-    const inZone = askers.filter(({ zone }) => zone === this.options.zone);
-    const isNear = inZone.length > 0 && this.options.random() < 0.8;
-    const choice = isNear ? inZone : askers;
-    const asked = choice[Math.floor(this.options.random() * choice.length)];
-    if (asked === undefined) return;
-    const entries = await this.options.askDaemon(asked, SHARING_TIMEOUT_MS);
-    for (const entry of entries ?? []) this.#adopt(entry, askedAtMs);
+    const collectors = this.options.askers()?.filter(({ name }) => name !== this.options.ownName) ?? [];
+    const inZone = collectors.filter(({ zone }) => zone === this.options.zone);
+    const prefersZone = inZone.length > 0 && this.options.random() < 0.8;
+    const candidates = prefersZone ? inZone : collectors;
+    const collector = candidates[Math.floor(this.options.random() * candidates.length)];
+    if (collector === undefined) return;
+    const entries = await this.options.askDaemon(collector, SHARING_TIMEOUT_MS);
+    for (const entry of entries ?? []) this.#recordEvidence(entry, askedAtMs);
   }
 
-  #adopt({ groupName, memberId, term, held, ageMs }: SharedEvidence, askedAtMs: number): void {
+  #recordEvidence({ groupName, memberId, term, held, ageMs }: SharedEvidence, askedAtMs: number): void {
     const group = this.options.groups().find(({ name }) => name === groupName);
     if (group === undefined) return;
     const hadEvidence = group.evidence.current(this.options.now()) !== null;
--- a/src/leadership/leadership-watcher.ts
+++ b/src/leadership/leadership-watcher.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps one daemon's evidence of one group's leader fresh: learns who leads, then asks a replica in turn.
+ * Keeps the evidence of one daemon for the leader of one group fresh: finds out which member leads, then
+ * queries the replicas in turn.
  *
  * @packageDocumentation
  */
@@ -14,17 +15,17 @@
 } from './leadership-evidence.js';
 import type { ControlAnswer, MemberControl } from './member-control.js';
 
-/** Longest wait for a status, in milliseconds. */
-const STATUS_MS = 250;
-/** Pause after a round that gave no evidence, in milliseconds: grows from the first to the second. */
-const FIRST_PAUSE_MS = 30;
-const LAST_PAUSE_MS = 300;
+/** Timeout of a status request, in milliseconds. */
+const STATUS_TIMEOUT_MS = 250;
+/** Delay after a round that gave no evidence, in milliseconds; doubles from the first to the second value. */
+const MIN_RETRY_DELAY_MS = 30;
+const MAX_RETRY_DELAY_MS = 300;
 
-/** Time between looks at whether others have asked, in milliseconds. */
-const OTHERS_ASK_MS = 100;
+/** Time between checks whether this daemon has to query the members itself, in milliseconds. */
+const SHARED_EVIDENCE_CHECK_MS = 100;
 
-/** Time between two looks at a witness of a confirmed leader, in milliseconds. */
-const RECHECK_MS = 5000;
+/** Time for which a confirmed leader needs no new answer of a witness, in milliseconds. */
+const RECONFIRM_INTERVAL_MS = 5000;
 
 /** The promotion duty while this daemon holds it; monotonic times in milliseconds. */
 export interface HeldDuty {
@@ -32,19 +33,19 @@
   readonly untilMs: number;
 }
 
-/** What the watcher tells. */
+/** Receives the changes that a {@link LeadershipWatcher} detects. */
 export interface LeadershipListener {
-  /** Evidence of a leader was gained after there was none, or lapsed. */
+  /** Evidence of a leader was gained after there was none, or expired. */
   evidenceChanged(group: MemberGroup, memberId: string | null, reason: string): void;
 }
 
-/** Watches one group. */
+/** Keeps the evidence of one group fresh. */
 export class LeadershipWatcher {
   readonly #wake = new ChangeSignal();
   #isStopped = false;
-  #failures = 0;
+  #failedRounds = 0;
   #hadEvidence = false;
-  #witnessTurn = 0;
+  #witnessRotation = 0;
   #confirmedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -53,60 +54,62 @@
     private readonly control: MemberControl,
     private readonly listener: LeadershipListener,
     private readonly heldDuty: () => HeldDuty | null,
-    /** False while other daemons ask the members on behalf of this one. */
-    private readonly mayAsk: () => boolean,
-    /** True while others live on the evidence of this daemon, though it does not hold the duty. */
-    private readonly isReliedOn: () => boolean,
+    /** False while other daemons query the members on behalf of this one. */
+    private readonly mayQueryMembers: () => boolean,
+    /** True while other daemons depend on the evidence of this one, though it does not hold the duty. */
+    private readonly suppliesEvidence: () => boolean,
     private readonly now: () => number,
   ) {}
 
   /** Gathers evidence until {@link LeadershipWatcher.stop}. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
-      const restMs = this.#restMs();
-      if (restMs > 0) await this.#wake.wait(restMs);
-      else if (!this.mayAsk()) await this.#wake.wait(OTHERS_ASK_MS);
-      else if (await this.#round()) this.#failures = 0;
-      else await this.#wake.wait(this.#pauseMs());
-      this.#tell('renewal');
+      const dueInMs = this.#renewalDueInMs();
+      if (dueInMs > 0) await this.#wake.wait(dueInMs);
+      else if (!this.mayQueryMembers()) await this.#wake.wait(SHARED_EVIDENCE_CHECK_MS);
+      else if (await this.#gatherEvidence()) this.#failedRounds = 0;
+      else await this.#wake.wait(this.#nextRetryDelayMs());
+      this.#reportChange('renewal');
     }
   }
 
-  /** Something has changed: look again now. */
+  /** Starts a new round at once, after a change of the group. */
   wake(): void {
-    this.#failures = 0;
-    this.#tell('change');
+    this.#failedRounds = 0;
+    this.#reportChange('change');
     this.#wake.notify();
   }
 
-  /** The holder of the duty knows that the leader leads: it vouches for it while it holds the duty. */
+  /**
+   * Called on the holder of the duty when it has verified the leader: its evidence is renewed without
+   * witnesses while the duty is held.
+   */
   confirm(): void {
     this.#confirmedAtMs = this.now();
     this.group.evidence.confirm();
   }
 
-  /** Stops. */
   stop(): void {
     this.#isStopped = true;
     this.#wake.notify();
   }
 
-  /** Time for which the evidence needs no renewal, in milliseconds. */
-  #restMs(): number {
-    const isShared = this.heldDuty() !== null || this.isReliedOn();
-    const renewalMs = isShared ? HOLDER_RENEWAL_MS : OWN_RENEWAL_MS;
+  /** Time until the evidence has to be renewed, in milliseconds. */
+  #renewalDueInMs(): number {
+    const isSupplier = this.heldDuty() !== null || this.suppliesEvidence();
+    const renewalMs = isSupplier ? HOLDER_RENEWAL_MS : OWN_RENEWAL_MS;
     return this.group.evidence.validUntilMs - (EVIDENCE_MS - renewalMs) - this.now();
   }
 
-  #pauseMs(): number {
-    this.#failures += 1;
-    return Math.min(LAST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(this.#failures - 1, 8));
+  #nextRetryDelayMs(): number {
+    this.#failedRounds += 1;
+    return Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS * 2 ** Math.min(this.#failedRounds - 1, 8));
   }
 
-  async #round(): Promise<boolean> {
-    if (this.#vouch()) return true;
+  async #gatherEvidence(): Promise<boolean> {
+    if (this.#renewUnderDuty()) return true;
     if (this.group.evidence.leader === null) {
-      if (await this.#learn()) return true;
+      if (await this.#findLeader()) return true;
       if (this.group.evidence.leader === null) return false;
     }
     for (const witness of this.#witnesses()) {
@@ -116,37 +119,39 @@
     return false;
   }
 
-  /** Renews the evidence on the strength of the duty alone; false when that cannot be done. */
-  #vouch(): boolean {
+  /** Renews the evidence by the held duty alone, without a witness; false when that is not possible. */
+  #renewUnderDuty(): boolean {
     const duty = this.heldDuty();
     const { evidence } = this.group;
     const now = this.now();
-    if (duty === null || !evidence.isConfirmed || now - this.#confirmedAtMs > RECHECK_MS) return false;
+    if (duty === null || !evidence.isConfirmed || now - this.#confirmedAtMs > RECONFIRM_INTERVAL_MS)
+      return false;
     evidence.vouch(duty.untilMs, now);
-    if (this.#restMs() <= 0) return false;
+    if (this.#renewalDueInMs() <= 0) return false;
     this.group.changed.notify();
     return true;
   }
 
   /**
-   * Asks the members that may lead, those that say so in the directory first, and a witness at the same time: its answer
-   * counts once the leader is known. True when there is evidence.
+   * Queries the members that claim leadership in the directory, or all members if there are none and in every
+   * fourth round, and a witness at the same time: its answer is valid once the leader is known. True when
+   * there is evidence.
    */
-  async #learn(): Promise<boolean> {
+  async #findLeader(): Promise<boolean> {
     const members = [...this.group.members.values()];
     const claimants = members.filter((member) => member.entry.saysPrimary);
-    const isClaimed = claimants.length > 0 && this.#failures % 4 !== 3;
+    const isClaimed = claimants.length > 0 && this.#failedRounds % 4 !== 3;
     const [witness] = this.#witnesses().filter((member) => !claimants.includes(member));
-    const asked = isClaimed ? [...claimants, ...(witness === undefined ? [] : [witness])] : members;
+    const queried = isClaimed ? [...claimants, ...(witness === undefined ? [] : [witness])] : members;
     const answers = await Promise.all(
-      asked.map((member) => this.control.ask(member, { kind: 'status' }, STATUS_MS, true)),
+      queried.map((member) => this.control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS, true)),
     );
-    asked.forEach((member, index) => this.#believe(member, answers[index]));
-    return asked.some((member, index) => this.#takeWitness(member, answers[index]));
+    queried.forEach((member, index) => this.#observeLeader(member, answers[index]));
+    return queried.some((member, index) => this.#recordWitness(member, answers[index]));
   }
 
-  #believe(member: Member, answer: ControlAnswer | undefined): void {
-    // Another life may go by the id by the time at which all have answered.
+  #observeLeader(member: Member, answer: ControlAnswer | undefined): void {
+    // The member may have been replaced by its next incarnation before all have answered.
     if (member.hasEnded || answer?.kind !== 'answered' || !answer.status.isPrimary) return;
     const { memberId } = member.entry;
     const { term, received } = answer.status;
@@ -154,8 +159,9 @@
   }
 
   /**
-   * Members other than the leader: those in the zone first, then in turn. One whose word would not count yet is not asked: where
-   * members and daemons start together, that took 745 questions of 8 daemons in 50 s instead of 314.
+   * Members other than the leader: those in the same zone first, then the others in rotation. A member whose
+   * answer would not be valid yet is not queried: where members and daemons start together, such queries
+   * raised the number from 314 to 745 for 8 daemons in 50 s.
    */
   #witnesses(): readonly Member[] {
     const leaderId = this.group.evidence.leader?.memberId;
@@ -163,21 +169,21 @@
     const others = [...this.group.members.values()].filter(
       (member) => member.entry.memberId !== leaderId && isWitnessAt(member, now),
     );
-    this.#witnessTurn += 1;
+    this.#witnessRotation += 1;
     const inZone = others.filter(({ entry }) => entry.zone === this.zone);
     const elsewhere = others.filter(({ entry }) => entry.zone !== this.zone);
-    const start = elsewhere.length === 0 ? 0 : this.#witnessTurn % elsewhere.length;
+    const start = elsewhere.length === 0 ? 0 : this.#witnessRotation % elsewhere.length;
     return [...inZone, ...elsewhere.slice(start), ...elsewhere.slice(0, start)];
   }
 
   async #askWitness(witness: Member): Promise<boolean> {
-    const answer = await this.control.ask(witness, { kind: 'status' }, STATUS_MS, true);
-    this.#believe(witness, answer);
-    return this.#takeWitness(witness, answer);
+    const answer = await this.control.ask(witness, { kind: 'status' }, STATUS_TIMEOUT_MS, true);
+    this.#observeLeader(witness, answer);
+    return this.#recordWitness(witness, answer);
   }
 
   /** True when the answer is evidence for the leader. */
-  #takeWitness(member: Member, answer: ControlAnswer | undefined): boolean {
+  #recordWitness(member: Member, answer: ControlAnswer | undefined): boolean {
     if (member.hasEnded || answer?.kind !== 'answered' || answer.status.isPrimary) return false;
     const { status, askedAtMs } = answer;
     const { evidence } = this.group;
@@ -187,7 +193,7 @@
     }
     const isEvidence = evidence.witness(status.term, status.pausedForTerm, askedAtMs);
     if (!isEvidence) return false;
-    // What a replica has received in the term, the leader holds.
+    // The leader holds whatever a replica has received in the term.
     if (evidence.leader !== null) {
       this.group.learnLeader(evidence.leader, null);
       this.group.noteReceived(status.received);
@@ -198,7 +204,7 @@
     return true;
   }
 
-  #tell(reason: string): void {
+  #reportChange(reason: string): void {
     const leader = this.group.evidence.current(this.now());
     const hasEvidence = leader !== null;
     if (hasEvidence === this.#hadEvidence) return;
@@ -208,7 +214,9 @@
   }
 }
 
-/** True when the life of a member had been known at `askedAtMs` for longer than a promotion may last. */
+/**
+ * True when the incarnation of a member had been known at `askedAtMs` for longer than a promotion may last.
+ */
 function isWitnessAt({ knownSinceMs }: Member, askedAtMs: number): boolean {
   return askedAtMs >= knownSinceMs + WITNESS_KNOWN_MS;
 }
