--- a/src/leadership/commit-watch.test.ts
+++ b/src/leadership/commit-watch.test.ts
@@ -1,5 +1,5 @@
 /**
- * Slow and stalled commits.
+ * Detection of slow and stalled commits.
  *
  * @packageDocumentation
  */
@@ -7,7 +7,7 @@
 import { test } from 'node:test';
 import { CommitWatch } from './commit-watch.js';
 
-test('a commit that takes several times what commits usually take is slow, then stalled', () => {
+test('a commit that takes a multiple of the typical time is slow, then stalled', () => {
   const commits = new CommitWatch();
   for (let at = 0; at < 1000; at += 50) commits.ended(commits.sent(at), true, at + 20);
   commits.sent(2000);
@@ -17,7 +17,7 @@
   assert.equal(commits.isStalled(2350), true);
 });
 
-test('where commits take long, what counts as slow grows with them, up to a stall', () => {
+test('the threshold for slow commits grows with the typical time, up to the stall limit', () => {
   const commits = new CommitWatch();
   for (let at = 0; at < 5000; at += 200) commits.ended(commits.sent(at), true, at + 150);
   commits.sent(10_000);
@@ -25,17 +25,17 @@
   assert.equal(commits.isSlow(10_350), true);
 });
 
-test('its answer ends it; a commit that was given up tells nothing of how long they take', () => {
+test('an answer ends a commit; an abandoned commit does not change the typical time', () => {
   const commits = new CommitWatch();
   const lost = commits.sent(0);
   assert.equal(commits.isSlow(400), true);
   commits.ended(lost, false, 800);
   assert.equal(commits.isSlow(800), false);
   commits.sent(1000);
-  assert.equal(commits.isSlow(1130), true, 'as if it had never been');
+  assert.equal(commits.isSlow(1130), true, 'the typical time is unchanged');
 });
 
-test('the oldest commit decides', () => {
+test('the oldest pending commit decides', () => {
   const commits = new CommitWatch();
   const first = commits.sent(0);
   commits.sent(300);
--- a/src/leadership/evidence-exchange.test.ts
+++ b/src/leadership/evidence-exchange.test.ts
@@ -1,5 +1,5 @@
 /**
- * Evidence on its way between daemons.
+ * Encoding and decoding of evidence that daemons exchange.
  *
  * @packageDocumentation
  */
@@ -27,7 +27,7 @@
   assert.deepEqual(reader.read(third), evidence);
 });
 
-test('an answer that comes after a newer list is not read with that list', () => {
+test('a reply that refers to an older list is not decoded with a newer one', () => {
   let evidence = [evidenceOf('m1', 10)];
   const answers = new EvidenceAnswers(() => evidence);
   const reader = new EvidenceReader();
@@ -38,7 +38,7 @@
   assert.deepEqual(reader.read(old), []);
 });
 
-test('two who ask are answered each by what it knows', () => {
+test('each requester is answered according to the version that it has', () => {
   const answers = new EvidenceAnswers(() => [evidenceOf('m1', 10)]);
   const one = new EvidenceReader();
   const other = new EvidenceReader();
--- a/src/leadership/evidence-sharing.test.ts
+++ b/src/leadership/evidence-sharing.test.ts
@@ -1,5 +1,5 @@
 /**
- * Where evidence comes from while the holder of the duty is gone.
+ * Sources of evidence while the holder of the duty does not answer.
  *
  * @packageDocumentation
  */
@@ -14,18 +14,18 @@
 const HOLDER_TIMEOUT_MS = 200;
 const GROUP = 'g';
 
-/** A daemon whose evidence comes from others, on a clock that is moved by hand. */
-class Scene {
+/** A daemon that obtains its evidence from others, on a simulated clock. */
+class SharingFixture {
   now = 0;
   readonly group = new MemberGroup(GROUP);
   readonly sharing: EvidenceSharing;
-  /** The holder answers with evidence; else it says nothing. */
+  /** Whether the holder of the duty answers with evidence; otherwise requests to it time out. */
   hasHolder = true;
 
-  /** @param askers - daemons that ask members on behalf of all; `null` when everybody does */
+  /** @param collectors - daemons that query the members on behalf of all; `null` when every daemon does */
   constructor(
     private readonly context: TestContext,
-    askers: readonly string[] | null,
+    collectors: readonly string[] | null,
   ) {
     context.mock.timers.enable({ apis: ['setTimeout'] });
     this.sharing = new EvidenceSharing({
@@ -33,10 +33,10 @@
       zone: 'a',
       groups: () => [this.group],
       fleetSize: () => 195,
-      askers: () => askers?.map((name) => ({ name, zone: 'a' }) as DaemonRecord) ?? null,
+      askers: () => collectors?.map((name) => ({ name, zone: 'a' }) as DaemonRecord) ?? null,
       holdsDuty: () => false,
-      askHolder: () => (this.hasHolder ? Promise.resolve([this.#evidence(0)]) : this.#silence()),
-      // Whoever is relied on renews its evidence at this age: no other is older.
+      askHolder: () => (this.hasHolder ? Promise.resolve([this.#evidence(0)]) : this.#timeout()),
+      // A collector that others depend on renews its evidence at this age, so its evidence is never older.
       askDaemon: () => Promise.resolve([this.#evidence(HOLDER_RENEWAL_MS)]),
       gained: () => undefined,
       now: () => this.now,
@@ -44,55 +44,59 @@
     });
   }
 
-  /** Lets time pass; gives the milliseconds without evidence. */
-  async pass(ms: number): Promise<number> {
-    let without = 0;
+  /**
+   * Advances the clock.
+   *
+   * @returns the time without evidence, in milliseconds
+   */
+  async advance(ms: number): Promise<number> {
+    let missingMs = 0;
     for (let step = 0; step < ms; step += 1) {
       this.now += 1;
       this.context.mock.timers.tick(1);
       await new Promise((resolve) => setImmediate(resolve));
-      if (this.group.evidence.current(this.now) === null) without += 1;
+      if (this.group.evidence.current(this.now) === null) missingMs += 1;
     }
-    return without;
+    return missingMs;
   }
 
   #evidence(ageMs: number): SharedEvidence {
     return { groupName: GROUP, memberId: 'm', term: 1, held: null, ageMs };
   }
 
-  #silence(): Promise<null> {
+  #timeout(): Promise<null> {
     return new Promise((resolve) => setTimeout(() => resolve(null), HOLDER_TIMEOUT_MS));
   }
 }
 
-test('evidence does not lapse when the holder of the duty goes silent', async (context) => {
-  const scene = new Scene(context, ['d2', 'd3']);
-  void scene.sharing.run();
-  await scene.pass(2000);
-  scene.hasHolder = false;
-  assert.equal(await scene.pass(4 * EVIDENCE_MS), 0);
-  scene.sharing.stop();
+test('evidence does not expire when the holder of the duty stops answering', async (context) => {
+  const fixture = new SharingFixture(context, ['d2', 'd3']);
+  void fixture.sharing.run();
+  await fixture.advance(2000);
+  fixture.hasHolder = false;
+  assert.equal(await fixture.advance(4 * EVIDENCE_MS), 0);
+  fixture.sharing.stop();
 });
 
-test('a daemon that asks on behalf of others keeps its evidence fresh for them while the holder is silent', async (context) => {
-  const scene = new Scene(context, ['d1', 'd2']);
-  void scene.sharing.run();
-  await scene.pass(2000);
-  assert.equal(scene.sharing.isReliedOn, false);
-  scene.hasHolder = false;
-  await scene.pass(1000);
-  assert.equal(scene.sharing.isReliedOn, true);
-  scene.hasHolder = true;
-  await scene.pass(1000);
-  assert.equal(scene.sharing.isReliedOn, false);
-  scene.sharing.stop();
+test('a collector keeps its evidence fresh for other daemons while the holder does not answer', async (context) => {
+  const fixture = new SharingFixture(context, ['d1', 'd2']);
+  void fixture.sharing.run();
+  await fixture.advance(2000);
+  assert.equal(fixture.sharing.isReliedOn, false);
+  fixture.hasHolder = false;
+  await fixture.advance(1000);
+  assert.equal(fixture.sharing.isReliedOn, true);
+  fixture.hasHolder = true;
+  await fixture.advance(1000);
+  assert.equal(fixture.sharing.isReliedOn, false);
+  fixture.sharing.stop();
 });
 
-test('where everybody asks for itself, nobody is relied on', async (context) => {
-  const scene = new Scene(context, null);
-  scene.hasHolder = false;
-  void scene.sharing.run();
-  await scene.pass(1000);
-  assert.equal(scene.sharing.isReliedOn, false);
-  scene.sharing.stop();
+test('no daemon supplies others where every daemon queries the members itself', async (context) => {
+  const fixture = new SharingFixture(context, null);
+  fixture.hasHolder = false;
+  void fixture.sharing.run();
+  await fixture.advance(1000);
+  assert.equal(fixture.sharing.isReliedOn, false);
+  fixture.sharing.stop();
 });
--- a/src/leadership/group-supervisor.test.ts
+++ b/src/leadership/group-supervisor.test.ts
@@ -1,5 +1,5 @@
 /**
- * Whom a promotion asks, and when.
+ * Which daemons and members a promotion asks, and in which order.
  *
  * @packageDocumentation
  */
@@ -13,10 +13,10 @@
 import type { ControlAnswer, MemberControl } from './member-control.js';
 
 const TERM = 3;
-const NAMES = ['old', 'first', 'second'];
+const MEMBER_IDS = ['old', 'first', 'second'];
 
-/** A group whose leader refuses connections, and all that a supervisor does about it, in order. */
-class Scene {
+/** A group whose leader refuses connections, with a record of the actions of its supervisor in order. */
+class SupervisorFixture {
   readonly steps: string[] = [];
   readonly #pausedForTerm = new Map<string, number>();
   #successor: string | null = null;
@@ -24,15 +24,16 @@
   readonly supervisor: GroupSupervisor;
 
   /**
-   * @param onFirstOrder - how the daemon `d2` takes the first order, and how it takes it when it is asked again
-   * @param losesPause - a replica that forgets its pause at once
+   * @param firstOutcome - how the first order goes at the daemon `d2`
+   * @param secondOutcome - how the order goes at that daemon when it is sent again
+   * @param replicaLosingPause - a replica that loses its pause at once
    */
   constructor(
-    private readonly onFirstOrder: OrderOutcome['kind'],
-    private readonly onSecondOrder: OrderOutcome['kind'],
-    private readonly losesPause: string | null = null,
+    private readonly firstOutcome: OrderOutcome['kind'],
+    private readonly secondOutcome: OrderOutcome['kind'],
+    private readonly replicaLosingPause: string | null = null,
   ) {
-    for (const memberId of NAMES) this.group.members.set(memberId, memberOf(memberId));
+    for (const memberId of MEMBER_IDS) this.group.members.set(memberId, memberOf(memberId));
     this.group.evidence.believe({ memberId: 'old', term: TERM });
     this.supervisor = new GroupSupervisor(this.group, {
       control: {
@@ -55,7 +56,7 @@
     });
   }
 
-  /** Runs until the step has been taken; fails if that takes long. */
+  /** Runs the supervisor until the step has been taken; fails after 10 s. */
   async until(step: string): Promise<void> {
     const running = this.supervisor.run();
     const deadlineMs = performance.now() + 10_000;
@@ -72,7 +73,7 @@
     if (memberId === 'old') return Promise.resolve({ kind: 'refused' });
     if (request.kind === 'pause') {
       this.steps.push(`pause ${memberId}`);
-      if (memberId !== this.losesPause) this.#pausedForTerm.set(memberId, request.term);
+      if (memberId !== this.replicaLosingPause) this.#pausedForTerm.set(memberId, request.term);
     }
     return Promise.resolve({
       kind: 'answered',
@@ -95,7 +96,7 @@
   #order(order: HolderOrder, recipients?: Recipients): Promise<ReadonlyMap<string, OrderOutcome>> {
     const again = recipients !== undefined && 'only' in recipients ? recipients.only : undefined;
     this.steps.push(again === undefined ? order.kind : `${order.kind} again: ${[...again].join(',')}`);
-    const kind = again === undefined ? this.onFirstOrder : this.onSecondOrder;
+    const kind = again === undefined ? this.firstOutcome : this.secondOutcome;
     const outcome: OrderOutcome =
       kind === 'answered'
         ? { kind, answer: { latest: { term: TERM, index: 9 }, limit: { term: TERM, index: 9 } } }
@@ -110,41 +111,45 @@
 }
 
 test('a daemon that did not run is asked again once the replicas are paused: it may have started meanwhile', async () => {
-  const scene = new Scene('gone', 'answered');
-  await scene.until('promotion_ends');
-  const asked = scene.steps.indexOf('revoke again: d2');
-  assert.ok(asked > scene.steps.indexOf('pause second'));
-  assert.ok(asked < scene.steps.findIndex((step) => step.startsWith('promote ')));
+  const fixture = new SupervisorFixture('gone', 'answered');
+  await fixture.until('promotion_ends');
+  const asked = fixture.steps.indexOf('revoke again: d2');
+  assert.ok(asked > fixture.steps.indexOf('pause second'));
+  assert.ok(asked < fixture.steps.findIndex((step) => step.startsWith('promote ')));
 });
 
-test('if it does not answer then, its evidence is waited out', async () => {
-  const scene = new Scene('gone', 'silent');
+test('a promotion waits until the evidence of that daemon has expired if it does not answer then', async () => {
+  const fixture = new SupervisorFixture('gone', 'silent');
   const startedMs = performance.now();
-  await scene.until('promotion_call');
+  await fixture.until('promotion_call');
   assert.ok(performance.now() - startedMs >= 1500);
 });
 
-test('daemons that let go at once are asked once', async () => {
-  const scene = new Scene('answered', 'silent');
-  await scene.until('promotion_ends');
-  assert.ok(!scene.steps.some((step) => step.startsWith('revoke again')));
+test('daemons that revoke their evidence at once are asked once', async () => {
+  const fixture = new SupervisorFixture('answered', 'silent');
+  await fixture.until('promotion_ends');
+  assert.ok(!fixture.steps.some((step) => step.startsWith('revoke again')));
 });
 
-test('nobody is promoted on a pause that was lost right after it, also when nobody is waited for', async () => {
-  const scene = new Scene('answered', 'answered', 'second');
-  await scene.until('promotion_given_up');
-  assert.ok(!scene.steps.some((step) => step.startsWith('promote ')));
+test('no member is promoted after a replica has lost its pause, even if the promotion waits for no daemon', async () => {
+  const fixture = new SupervisorFixture('answered', 'answered', 'second');
+  await fixture.until('promotion_given_up');
+  assert.ok(!fixture.steps.some((step) => step.startsWith('promote ')));
 });
 
-/** A group whose leader keeps new connections waiting; `lent`: other daemons hold the connections to it. */
-function slowLeaderScene(lent: boolean): {
+/**
+ * A group whose leader delays new connections.
+ *
+ * @param usesGateways - whether gateways hold the connections to it for other daemons
+ */
+function slowLeaderFixture(usesGateways: boolean): {
   supervisor: GroupSupervisor;
   group: MemberGroup;
   steps: string[];
 } {
   const steps: string[] = [];
   const group = new MemberGroup('g');
-  for (const memberId of NAMES) group.members.set(memberId, memberOf(memberId));
+  for (const memberId of MEMBER_IDS) group.members.set(memberId, memberOf(memberId));
   group.evidence.believe({ memberId: 'old', term: TERM });
   const ask = (member: Member): Promise<ControlAnswer> => {
     if (member.entry.memberId === 'old') steps.push('asked');
@@ -156,7 +161,7 @@
     heldFence: () => 1,
     order: () => Promise.resolve(new Map()),
     callerCount: () => 6,
-    isLent: () => lent,
+    isLent: () => usesGateways,
     confirmLeader: () => undefined,
     log: (event) => void steps.push(event),
     now: () => performance.now(),
@@ -164,38 +169,38 @@
   return { supervisor, group, steps };
 }
 
-async function stepsOf(
-  scene: { supervisor: GroupSupervisor; steps: string[] },
+async function stepsUntil(
+  fixture: { supervisor: GroupSupervisor; steps: string[] },
   last: string,
 ): Promise<string[]> {
-  const running = scene.supervisor.run();
+  const running = fixture.supervisor.run();
   const deadlineMs = performance.now() + 10_000;
-  while (!scene.steps.includes(last)) {
-    assert.ok(performance.now() < deadlineMs, `${last} was not reached: ${scene.steps.join(', ')}`);
+  while (!fixture.steps.includes(last)) {
+    assert.ok(performance.now() < deadlineMs, `${last} was not reached: ${fixture.steps.join(', ')}`);
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  scene.supervisor.stop();
+  fixture.supervisor.stop();
   await running;
-  return scene.steps;
+  return fixture.steps;
 }
 
 const SILENT_TO_GATEWAY = { groupName: 'g', memberId: 'old', reason: 'silent', reporter: 'd4' } as const;
 
-test('a leader that keeps a new connection waiting is not replaced while others use theirs', async () => {
-  const scene = slowLeaderScene(true);
-  scene.supervisor.suspect();
-  const steps = await stepsOf(scene, 'asked');
+test('a leader that delays a new connection is not replaced while other daemons use theirs', async () => {
+  const fixture = slowLeaderFixture(true);
+  fixture.supervisor.suspect();
+  const steps = await stepsUntil(fixture, 'asked');
   assert.ok(!steps.includes('promotion_begins'), steps.join(', '));
 });
 
-test('it is once an open connection of another daemon is silent, too', async () => {
-  const scene = slowLeaderScene(true);
-  scene.supervisor.suspect(SILENT_TO_GATEWAY);
-  await stepsOf(scene, 'promotion_begins');
+test('a leader that delays a new connection is replaced once another daemon reports it on an open connection', async () => {
+  const fixture = slowLeaderFixture(true);
+  fixture.supervisor.suspect(SILENT_TO_GATEWAY);
+  await stepsUntil(fixture, 'promotion_begins');
 });
 
-test('it is at once where every daemon connects itself', async () => {
-  const scene = slowLeaderScene(false);
-  scene.supervisor.suspect();
-  await stepsOf(scene, 'promotion_begins');
+test('a leader that delays a new connection is replaced at once where every daemon connects itself', async () => {
+  const fixture = slowLeaderFixture(false);
+  fixture.supervisor.suspect();
+  await stepsUntil(fixture, 'promotion_begins');
 });
--- a/src/leadership/leadership-watcher.test.ts
+++ b/src/leadership/leadership-watcher.test.ts
@@ -1,9 +1,11 @@
 /**
- * Witnesses that a daemon may rely on.
+ * Which replicas are valid witnesses for a daemon.
  *
- * Users could have read old data, or seen a confirmed change undone: the holder of the duty did not reach a daemon and waited its
- * evidence out; then a replica started, unpaused, before the platform acted, and was evidence for that daemon for 1.6 s: of the model's
- * 3.6 million orders of steps 3,348 ended so. Since lives count only once they have been known for longer than a promotion lasts, none.
+ * Guards against reads of old data and the loss of an acknowledged commit: the holder of the duty did not
+ * reach a daemon and waited for its evidence to expire; then a replica started, unpaused, before the platform
+ * acted, and was evidence for that daemon for 1.6 s. Of the 3.6 million orders of steps in the model, 3,348
+ * ended so; none does since an incarnation is a witness only after it has been known for longer than a
+ * promotion lasts.
  *
  * @packageDocumentation
  */
@@ -17,8 +19,8 @@
 import type { ControlAnswer, MemberControl } from './member-control.js';
 
 const TERM = 3;
-/** Time in which a watcher has asked once, in milliseconds. */
-const ASKED_MS = 60;
+/** Time in which a watcher completes one round, in milliseconds. */
+const ROUND_MS = 60;
 
 function member(memberId: string, port: number): Member {
   const place = { groupName: 'g', host: 'h', port, zone: 'a', slots: 1 };
@@ -26,12 +28,12 @@
   return new Member(entry, {} as MemberConnections);
 }
 
-/** A daemon with a leader and one replica, which answers that it follows the leader. */
-function watched(knownForMs: number): {
+/** A daemon's view of a group with a leader and one replica, which reports that it follows the leader. */
+function watchedGroup(knownForMs: number): {
   readonly group: MemberGroup;
   readonly watcher: LeadershipWatcher;
-  /** Questions that were asked. */
-  readonly asked: () => number;
+  /** Number of status requests. */
+  readonly queryCount: () => number;
 } {
   const group = new MemberGroup('g');
   const replica = member('replica', 1);
@@ -40,9 +42,9 @@
   group.members.set('replica', replica);
   group.learnLeader({ memberId: 'leader', term: TERM }, null);
   const status = { isPrimary: false, term: TERM, pausedForTerm: 0, received: { term: TERM, index: 1 } };
-  let asked = 0;
+  let queryCount = 0;
   const ask = (): Promise<ControlAnswer> => {
-    asked += 1;
+    queryCount += 1;
     return Promise.resolve({ kind: 'answered', status, askedAtMs: performance.now() });
   };
   const watcher = new LeadershipWatcher(
@@ -55,12 +57,12 @@
     () => false,
     () => performance.now(),
   );
-  return { group, watcher, asked: () => asked };
+  return { group, watcher, queryCount: () => queryCount };
 }
 
-async function hasEvidence({ group, watcher }: ReturnType<typeof watched>): Promise<boolean> {
+async function hasEvidence({ group, watcher }: ReturnType<typeof watchedGroup>): Promise<boolean> {
   const running = watcher.run();
-  await delay(ASKED_MS);
+  await delay(ROUND_MS);
   watcher.stop();
   await running;
   return group.evidence.current(performance.now()) !== null;
@@ -68,12 +70,12 @@
 
 describe('a replica', () => {
   test('is no witness while its life has been known for less than a promotion may last', async () => {
-    const scene = watched(WITNESS_KNOWN_MS - 10 * ASKED_MS);
-    assert.equal(await hasEvidence(scene), false);
-    assert.equal(scene.asked(), 0, 'questions are priced');
+    const fixture = watchedGroup(WITNESS_KNOWN_MS - 10 * ROUND_MS);
+    assert.equal(await hasEvidence(fixture), false);
+    assert.equal(fixture.queryCount(), 0, 'queries have a cost: none is sent that cannot give evidence');
   });
 
-  test('is one after that', async () => {
-    assert.equal(await hasEvidence(watched(WITNESS_KNOWN_MS)), true);
+  test('is a witness after that', async () => {
+    assert.equal(await hasEvidence(watchedGroup(WITNESS_KNOWN_MS)), true);
   });
 });
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -1,5 +1,5 @@
 /**
- * Evidence of leaders, positions, doubts, the choice of a successor.
+ * Leadership evidence, log positions, the choice of a successor, and suspicions.
  *
  * @packageDocumentation
  */
@@ -20,7 +20,7 @@
   return evidence;
 }
 
-/** A group whose leader is proven from 0 on. */
+/** A group whose leader is proven from time 0 on. */
 function ledGroup(): MemberGroup {
   const group = new MemberGroup('g');
   group.evidence.believe({ memberId: 'a', term: 1 });
@@ -29,7 +29,7 @@
 }
 
 describe('evidence', () => {
-  test('lapses after its time, counted from the question', () => {
+  test('expires after its validity, counted from the query', () => {
     const evidence = ledBy('a', 3);
     assert.equal(evidence.current(1000), null);
     assert.ok(evidence.witness(3, 0, 1000));
@@ -48,7 +48,7 @@
     assert.ok(evidence.believe({ memberId: 'b', term: 4 }));
   });
 
-  test('does not count before those who promote know of this daemon', () => {
+  test('is not valid before a promotion can know this daemon', () => {
     let countsFromMs = Number.POSITIVE_INFINITY;
     const evidence = new LeadershipEvidence(() => countsFromMs);
     evidence.believe({ memberId: 'a', term: 3 });
@@ -58,7 +58,7 @@
     assert.ok(evidence.witness(3, 0, 1500));
   });
 
-  test('is not gathered of a revoked term for a while, also from an answer to an older question', () => {
+  test('is not gathered for a revoked term for a while, not even from the answer to an older query', () => {
     const evidence = ledBy('a', 3);
     evidence.witness(3, 0, 1000);
     evidence.revoke(3, 1100);
@@ -71,14 +71,14 @@
     assert.ok(evidence.witness(3, 0, 3001));
   });
 
-  test('a later leader is not touched by the revocation of an earlier term', () => {
+  test('of a later leader is not affected by the revocation of an earlier term', () => {
     const evidence = ledBy('b', 4);
     evidence.witness(4, 0, 1000);
     evidence.revoke(3, 1001);
     assert.equal(evidence.current(1002)?.memberId, 'b');
   });
 
-  test('the duty vouches only for what was confirmed, and only as long as it is held', () => {
+  test('is renewed under the duty only for a confirmed leader, and only while the duty is held', () => {
     const evidence = ledBy('a', 3);
     evidence.vouch(9000, 1000);
     assert.equal(evidence.current(1001), null);
@@ -93,7 +93,7 @@
     assert.equal(evidence.current(8001), null);
   });
 
-  test('what was confirmed ends with a revocation, a loss, or another leader', () => {
+  test('is not renewed under the duty after a revocation, a loss, or a change of the leader', () => {
     const ends: ((evidence: LeadershipEvidence) => void)[] = [
       (evidence) => evidence.revoke(3, 1000),
       (evidence) => evidence.loseLeader(),
@@ -111,7 +111,7 @@
 });
 
 describe('positions', () => {
-  test('the floor is the lowest position asked for since, and none when the leader was not asked', () => {
+  test('the floor is the lowest position reported since a time, and none when the leader was not queried since', () => {
     const history = new PositionHistory();
     history.record(1000, { term: 1, index: 10 });
     history.record(1100, { term: 1, index: 20 });
@@ -122,10 +122,11 @@
   });
 
   /**
-   * Users read versions that had long been replaced. The leader starts again, empty, and refuses a statement; the position 0.0 of its refusal
-   * became the floor of reads at replicas, 79 of them in 0.9 s. Evidence: `read_at leader=false floor=0.0`.
+   * Guards against reads of versions that had long been replaced. A leader restarted with an empty log and
+   * refused a statement; the position 0.0 of its refusal became the floor of reads at replicas, 79 of them in
+   * 0.9 s. The log showed `read_at leader=false floor=0.0`.
    */
-  test('a position that goes back within a term is no floor, since another life has given it', () => {
+  test('a position that goes back within a term is no floor, because another incarnation reported it', () => {
     const group = new MemberGroup('g');
     group.evidence.believe({ memberId: 'a', term: 1 });
     group.recordLed(1000, { term: 1, index: 30 });
@@ -162,7 +163,7 @@
   const partial = (latest: Position): Acknowledged => ({ latest, limit: null });
   const UNKNOWN = partial(ZERO_POSITION);
 
-  test('is the one that has received the most; of equals, one that stays', () => {
+  test('is the member that has received the most; among equals, one that is not leaving', () => {
     const candidates = [
       { memberId: 'a', received: at(5), isLeaving: true, knownSinceMs: 0 },
       { memberId: 'b', received: at(5), isLeaving: false, knownSinceMs: 0 },
@@ -173,7 +174,7 @@
     assert.equal(chooseSuccessor({ candidates: more, missing: 0, acknowledged: UNKNOWN })?.memberId, 'd');
   });
 
-  test('is, of equals that stay, the one whose life has been known for longest', () => {
+  test('is, among equals that are not leaving, the one whose incarnation has been known for longest', () => {
     const candidates = [30, 10, 20].map((knownSinceMs) => ({
       memberId: String(knownSinceMs),
       received: at(5),
@@ -197,7 +198,7 @@
     assert.equal(chooseSuccessor({ candidates, missing: 0, acknowledged: UNKNOWN })?.memberId, 'a');
   });
 
-  test('what some daemons are known to have acknowledged has to be covered though others were not heard', () => {
+  test('what some daemons are known to have acknowledged has to be covered though others did not answer', () => {
     const candidates = [{ memberId: 'a', received: at(5), isLeaving: false, knownSinceMs: 0 }];
     assert.equal(chooseSuccessor({ candidates, missing: 0, acknowledged: partial(at(6)) }), null);
     assert.equal(chooseSuccessor({ candidates, missing: 0, acknowledged: partial(at(5)) })?.memberId, 'a');
@@ -206,27 +207,27 @@
 
   test('what a daemon may have forgotten has to be covered only where a replica is missing', () => {
     const candidates = [{ memberId: 'a', received: at(5), isLeaving: false, knownSinceMs: 0 }];
-    const forgetful = joinAcknowledged([whole(at(4)), { latest: at(2), limit: at(6) }]);
-    assert.deepEqual(forgetful, { latest: at(4), limit: at(6) });
-    assert.equal(chooseSuccessor({ candidates, missing: 1, acknowledged: forgetful }), null);
-    assert.equal(chooseSuccessor({ candidates, missing: 0, acknowledged: forgetful })?.memberId, 'a');
-    assert.equal(joinAcknowledged([forgetful, UNKNOWN]).limit, null);
+    const joined = joinAcknowledged([whole(at(4)), { latest: at(2), limit: at(6) }]);
+    assert.deepEqual(joined, { latest: at(4), limit: at(6) });
+    assert.equal(chooseSuccessor({ candidates, missing: 1, acknowledged: joined }), null);
+    assert.equal(chooseSuccessor({ candidates, missing: 0, acknowledged: joined })?.memberId, 'a');
+    assert.equal(joinAcknowledged([joined, UNKNOWN]).limit, null);
   });
 
   test('a commit is acknowledged only with evidence at the time of its answer', () => {
     const group = new MemberGroup('g');
     assert.equal(group.acknowledge(at(3), 0), 'unproven', 'no leader is known');
     group.evidence.believe({ memberId: 'a', term: at(3).term });
-    assert.equal(group.acknowledge(at(3), 0), 'unproven', 'nobody has shown that it leads');
+    assert.equal(group.acknowledge(at(3), 0), 'unproven', 'no witness has answered');
     group.evidence.witness(at(3).term, 0, 0);
     assert.equal(group.acknowledge(at(3), EVIDENCE_MS - 1), 'proven');
-    assert.equal(group.acknowledge(at(4), EVIDENCE_MS), 'unproven', 'the evidence has lapsed');
+    assert.equal(group.acknowledge(at(4), EVIDENCE_MS), 'unproven', 'the evidence has expired');
     assert.deepEqual(group.acknowledged.latest, at(3));
     group.evidence.believe({ memberId: 'b', term: at(3).term + 1 });
     assert.equal(group.acknowledge(at(4), EVIDENCE_MS), 'replaced');
   });
 
-  test('what is under way when a daemon lets go is acknowledged for as long as its evidence would have lasted', () => {
+  test('commits under way at a revocation are acknowledged for as long as the evidence would have been valid', () => {
     const group = ledGroup();
     group.evidence.revoke(at(3).term, 10);
     assert.equal(group.acknowledge(at(4), EVIDENCE_MS - 1), 'proven');
@@ -241,14 +242,14 @@
     assert.equal(group.acknowledge(at(4), 20), 'unproven');
     assert.ok(!group.evidence.witness(at(3).term, 0, 20), 'no evidence is gathered');
     group.evidence.allowAgain();
-    assert.equal(group.acknowledge(at(5), 20), 'unproven', 'nor is the old evidence back');
+    assert.equal(group.acknowledge(at(5), 20), 'unproven', 'the old evidence is not restored');
     assert.ok(group.evidence.witness(at(3).term, 0, 21));
     assert.equal(group.acknowledge(at(5), 22), 'proven');
     group.evidence.seal(at(3).term, 30);
     assert.equal(
       group.acknowledge(at(6), 30 + REVOCATION_MS),
       'unproven',
-      'the order wears off, evidence is asked for',
+      'the revocation has ended, but there is no new evidence',
     );
   });
 
@@ -273,8 +274,8 @@
     fc.assert(
       fc.property(received, fc.nat(), (indexes, pick) => {
         const acknowledged = at(Math.max(...indexes));
-        const dark = pick % (indexes.length + 1);
-        const reachable = indexes.filter((_, index) => index !== dark);
+        const unreachable = pick % (indexes.length + 1);
+        const reachable = indexes.filter((_, index) => index !== unreachable);
         const candidates = reachable.map((index, number) => ({
           memberId: `m${number}`,
           received: at(index),
@@ -290,8 +291,8 @@
   });
 });
 
-describe('doubts', () => {
-  const doubt = (reporter: string, reason: 'silent' | 'stalled' = 'silent') => ({
+describe('suspicions of a leader', () => {
+  const suspicionOf = (reporter: string, reason: 'silent' | 'stalled' = 'silent') => ({
     groupName: 'g',
     memberId: 'a',
     reason,
@@ -299,29 +300,29 @@
   });
 
   test('one daemon, or a short time, is not enough to replace a leader that answers', () => {
-    const doubts = new LeaderSuspicions();
-    for (let now = 0; now <= 900; now += 100) doubts.add(doubt('d1'), now);
-    assert.equal(doubts.lastingReporterCount('a', 6, 900), 0);
-    for (let now = 900; now <= 1300; now += 100) doubts.add(doubt('d2'), now);
-    assert.equal(doubts.lastingReporterCount('a', 6, 1300), 0);
+    const suspicions = new LeaderSuspicions();
+    for (let now = 0; now <= 900; now += 100) suspicions.add(suspicionOf('d1'), now);
+    assert.equal(suspicions.lastingReporterCount('a', 6, 900), 0);
+    for (let now = 900; now <= 1300; now += 100) suspicions.add(suspicionOf('d2'), now);
+    assert.equal(suspicions.lastingReporterCount('a', 6, 1300), 0);
   });
 
-  test('a lasting doubt of enough daemons is', () => {
-    const doubts = new LeaderSuspicions();
+  test('lasting suspicions of enough daemons are', () => {
+    const suspicions = new LeaderSuspicions();
     for (let now = 0; now <= 600; now += 100)
-      for (const reporter of ['d1', 'd2']) doubts.add(doubt(reporter), now);
-    assert.equal(doubts.lastingReporterCount('a', 6, 600), 2);
-    assert.equal(doubts.lastingReporterCount('a', 10, 600), 0, 'two of ten are too few');
-    assert.equal(doubts.lastingReporterCount('b', 6, 600), 0, 'another member is not meant');
-    assert.equal(doubts.lastingReporterCount('a', 6, 1200), 0, 'doubts pass');
+      for (const reporter of ['d1', 'd2']) suspicions.add(suspicionOf(reporter), now);
+    assert.equal(suspicions.lastingReporterCount('a', 6, 600), 2);
+    assert.equal(suspicions.lastingReporterCount('a', 10, 600), 0, 'two of ten are too few');
+    assert.equal(suspicions.lastingReporterCount('b', 6, 600), 0, 'another member is not suspected');
+    assert.equal(suspicions.lastingReporterCount('a', 6, 1200), 0, 'suspicions expire');
   });
 
-  test('a doubt is for its reason', () => {
-    const doubts = new LeaderSuspicions();
-    doubts.add(doubt('d1', 'stalled'), 100);
-    assert.ok(doubts.has('stalled', 'a', 200));
-    assert.ok(!doubts.has('silent', 'a', 200));
-    doubts.clear();
-    assert.ok(!doubts.has('stalled', 'a', 200));
+  test('a suspicion counts only for its reason', () => {
+    const suspicions = new LeaderSuspicions();
+    suspicions.add(suspicionOf('d1', 'stalled'), 100);
+    assert.ok(suspicions.has('stalled', 'a', 200));
+    assert.ok(!suspicions.has('silent', 'a', 200));
+    suspicions.clear();
+    assert.ok(!suspicions.has('stalled', 'a', 200));
   });
 });
