--- a/src/leadership/group-supervisor.ts
+++ b/src/leadership/group-supervisor.ts
@@ -230,7 +230,7 @@
       );
       const isStalled =
         this.#suspicions.has('stalled', memberId, now) && (await this.#isReplicationStalled(leader));
-      if (isStalled) return this.#transferLeadership(leader, 'commits are not replicated');
+      if (isStalled) return this.#transferLeadership(leader, 'commits stall');
       if (this.#suspicions.count('failing', memberId, now) >= this.#requiredReporters(leader))
         return this.#transferLeadership(leader, 'leader fails requests');
       if (reporterCount > 0)
--- a/src/leadership/lost-lives.ts
+++ b/src/leadership/lost-lives.ts
@@ -26,7 +26,7 @@
   readonly term: number;
 }
 
-/** An earlier incarnation of a member whose last position is unknown. */
+/** An earlier incarnation of a member. What it had received is unknown. */
 interface LostIncarnation {
   readonly member: Incarnation;
   readonly sinceMs: number;
