--- a/src/leadership/member-control.ts
+++ b/src/leadership/member-control.ts
@@ -1,5 +1,5 @@
 /**
- * Questions and orders of the daemon's own to members: status, pause, resume, demote.
+ * Control requests that the daemon itself sends to members: status, pause, resume, demote.
  *
  * @packageDocumentation
  */
@@ -17,37 +17,42 @@
 import { NO_TENANT } from '../tenancy/tenant-register.js';
 import type { Member } from '../topology/member-group.js';
 
-/** What went wrong on the way to a member: no connection of a pool came free, none could be opened, or one that was open broke or was late. */
+/**
+ * The stage at which a request to a member failed. `pool`: no pooled connection became free; `dial`: no
+ * connection could be opened; `answer`: an open connection broke or the answer was late; `gateway`: no
+ * gateway was available or it did not answer.
+ */
 export type ControlStage = 'pool' | 'dial' | 'answer' | 'gateway';
 
 /**
- * How a question went. `refused`: the member does not run there, or another has its address; `silent`: no answer in time, or the connection
- * broke; `slow`: the host took the connection, but the member did not accept it in time: it may have no slot free, or
- * hang; `busy`: the member refused for want of slots or connections.
+ * Result of a request. `refused`: the member does not run at its address, or another one has that address;
+ * `silent`: no answer in time, or the connection broke; `slow`: the host accepted the connection, but the
+ * member did not complete the start-up in time: it may have no free slot, or hang; `busy`: the member refused
+ * because it has no free slots or connections, or no gateway could answer for it.
  */
 export type ControlAnswer =
   | { readonly kind: 'answered'; readonly status: MemberStatus; readonly askedAtMs: number }
   | { readonly kind: 'refused' }
   | { readonly kind: 'silent' | 'slow' | 'busy'; readonly stage?: ControlStage };
 
-/** What the control part needs. */
+/** Dependencies of {@link MemberControl}. */
 export interface MemberControlOptions {
   readonly dialer: MemberDialer;
   readonly readStatus: StatusReader;
   /**
-   * True while this daemon may open connections beside those of its pools, also to members that others connect to: one
-   * daemon at a time, since members accept few.
+   * True while this daemon may open connections in addition to its pools, also to members whose pools belong
+   * to other daemons. Only one daemon may at a time, since members accept few connections.
    */
   mayConnect(): boolean;
   now(): number;
 }
 
-/** Time after which an own connection that is not used is ended, in milliseconds. */
+/** Idle time after which an own connection, one outside the pools, is closed, in milliseconds. */
 const OWN_LINK_IDLE_MS = 500;
 
 /**
- * Longest wait for a status through a gateway, in milliseconds, where a connection of its own can be asked after it: some
- * round trips between zones and the time of a statement.
+ * Time limit for a status request through a gateway, in milliseconds, if the request can be repeated over an
+ * own connection: allows for some round trips between zones and the execution of a statement.
  */
 const THROUGH_GATEWAY_MS = 60;
 
@@ -59,23 +64,26 @@
 const NO_CONNECTION: ControlAnswer = { kind: 'busy', stage: 'dial' };
 
 /**
- * Asks members over idle pooled connections, else through a gateway of the member, else over a connection of its own.
- * Where some daemons hold the connections for all, only one may open any beside them.
+ * Sends requests to members over idle pooled connections, else through a gateway of the member, else over an
+ * own connection outside the pools. Where some daemons (gateways) hold the connections for all others, only
+ * one daemon may open further ones.
  */
 export class MemberControl {
   readonly #ownLinks = new Map<string, MemberLink>();
   readonly #usedAtMs = new Map<string, number>();
-  /** Own connections that are being opened, by member: questions that come meanwhile wait for the same one. */
+  /** Own connections that are being opened, by member: concurrent requests wait for the same one. */
   readonly #dials = new Map<string, Promise<MemberLink | ControlAnswer>>();
 
   constructor(private readonly options: MemberControlOptions) {}
 
   /**
-   * Asks one member; never rejects.
+   * Sends a request to one member; never rejects.
    *
-   * @param timeoutMs - longest wait; a question through a gateway that finds out nothing may come on top
-   * @param opensPool - a connection that has to be opened for it is the first of the pool, where it has none. Not for a
-   * sign of life: the pool does not tell a member that keeps new connections waiting from a silent one.
+   * @param timeoutMs - time limit; an unsuccessful request through a gateway may take additional time before
+   * it
+   * @param opensPool - if the pool has no connection yet, opens its first one for the request. Not suited to
+   * liveness checks: the pool does not tell a member that keeps new connections waiting from one that does
+   * not answer.
    */
   async ask(
     member: Member,
@@ -83,13 +91,14 @@
     timeoutMs: number,
     opensPool = false,
   ): Promise<ControlAnswer> {
-    // Whoever answers at its address, or over a connection that goes by its id, is another life.
+    // Any answer at its address, or over a connection registered under its id, comes from another
+    // incarnation.
     if (member.hasEnded) return REFUSED;
-    const answer = await this.#askLiving(member, request, timeoutMs, opensPool);
+    const answer = await this.#askRunning(member, request, timeoutMs, opensPool);
     return member.hasEnded ? REFUSED : answer;
   }
 
-  async #askLiving(
+  async #askRunning(
     member: Member,
     request: MemberRequest,
     timeoutMs: number,
@@ -103,7 +112,7 @@
     const mayConnect = !member.pool.hasGateways || this.options.mayConnect();
     if (request.kind === 'status' && !member.pool.isAssigned) {
       const answer = await this.#askThroughGateway(member, mayConnect ? THROUGH_GATEWAY_MS : timeoutMs);
-      // What a gateway cannot say may be the gateway's own trouble.
+      // Without an answer, the fault may lie with the gateway rather than with the member.
       if (answer.kind === 'answered' || !mayConnect) return answer;
     }
     if (!mayConnect) return NO_CONNECTION;
@@ -117,13 +126,13 @@
     return answer;
   }
 
-  /** Ends the own connection to a member that has ended, also one that is being opened. */
+  /** Closes the own connection to a member that has ended, also one that is being opened. */
   forget(memberId: string): void {
     this.#dials.delete(memberId);
     this.#endOwnLink(memberId);
   }
 
-  /** A connection is of no use any more; one that has taken its place is kept. */
+  /** Removes a closed connection, unless another one has already replaced it. */
   #dropOwnLink(memberId: string, link: MemberLink): void {
     if (this.#ownLinks.get(memberId) === link) this.#ownLinks.delete(memberId);
   }
@@ -134,7 +143,7 @@
     this.#usedAtMs.delete(memberId);
   }
 
-  /** Ends own connections that were not used for a while: they count against the members' limits. */
+  /** Closes idle own connections: they count against the members' connection limits. */
   trim(): void {
     const unusedSinceMs = this.options.now() - OWN_LINK_IDLE_MS;
     for (const [memberId, usedAtMs] of this.#usedAtMs)
@@ -142,8 +151,9 @@
   }
 
   /**
-   * A connection of the pool: the first one where it has none, which the requests use next, or one that comes free where
-   * others may not be opened. `null` where the question has to find another way.
+   * Acquires a pooled connection: the first one of a pool without connections, which client requests use
+   * afterwards, or one that becomes free if no own connection may be opened. `null` if the request has to be
+   * sent another way.
    */
   async #waitForPooled(member: Member, timeoutMs: number): Promise<PooledLink | ControlAnswer | null> {
     const { own, hasGateways, isAssigned } = member.pool;
@@ -154,7 +164,7 @@
     try {
       return await own.acquire(demand, timeoutMs);
     } catch (error) {
-      if (error instanceof DialError) return answerOf(error);
+      if (error instanceof DialError) return toControlAnswer(error);
       return GIVEN_UP;
     }
   }
@@ -171,14 +181,17 @@
     return answer;
   }
 
-  /** The status of a member over a connection that a gateway lends. Silence says nothing of the member. */
+  /**
+   * Asks for the status of a member over a connection borrowed from a gateway. A missing answer tells nothing
+   * about the member.
+   */
   async #askThroughGateway(member: Member, timeoutMs: number): Promise<ControlAnswer> {
     const demand = ownDemand(0);
     let link: SessionLink;
     try {
       link = member.pool.borrow(demand, timeoutMs);
     } catch {
-      // No gateway is in reach: nothing is known of the member.
+      // No gateway is reachable: this tells nothing about the member.
       return NO_GATEWAY;
     }
     const answer = await this.#send(link, { kind: 'status' }, timeoutMs);
@@ -197,7 +210,7 @@
   #openOwn(member: Member, timeoutMs: number): Promise<MemberLink | ControlAnswer> {
     const { memberId } = member.entry;
     const dial: Promise<MemberLink | ControlAnswer> = this.#dialOwn(member, timeoutMs)
-      .then((outcome) => this.#opened(memberId, outcome, this.#dials.get(memberId) === dial))
+      .then((outcome) => this.#keepOpened(memberId, outcome, this.#dials.get(memberId) === dial))
       .finally(() => {
         if (this.#dials.get(memberId) === dial) this.#dials.delete(memberId);
       });
@@ -205,8 +218,8 @@
     return dial;
   }
 
-  /** Keeps a connection that was opened, unless the member was forgotten meanwhile. */
-  #opened(
+  /** Keeps a connection that was opened, unless {@link MemberControl.forget} was called in the meantime. */
+  #keepOpened(
     memberId: string,
     outcome: MemberLink | ControlAnswer,
     isWanted: boolean,
@@ -226,7 +239,7 @@
       return await this.options.dialer.dial(target, timeoutMs);
     } catch (error) {
       if (!(error instanceof DialError)) throw error;
-      return answerOf(error);
+      return toControlAnswer(error);
     }
   }
 
@@ -249,13 +262,13 @@
   }
 }
 
-/** What a question of the daemon's own wants of a connection. */
+/** Requirements of a control request on a pooled connection. */
 function ownDemand(dueAtMs: number): LinkDemand {
   return { tenantName: null, values: new Map(), isWrite: false, priority: 0, dueAtMs };
 }
 
-/** What a connection that could not be opened says of the member. */
-function answerOf({ reason }: DialError): ControlAnswer {
+/** Maps a failure to open a connection to the result of the request. */
+function toControlAnswer({ reason }: DialError): ControlAnswer {
   switch (reason) {
     case 'refused':
     case 'wrong_member':
