--- a/src/leadership/acknowledged.ts
+++ b/src/leadership/acknowledged.ts
@@ -1,19 +1,19 @@
 /**
- * What is known of the commits that daemons have acknowledged to clients. Pure.
+ * Bounds of the commits that daemons have acknowledged to clients. Pure.
  *
  * @packageDocumentation
  */
 import { laterPosition, type Position } from '../position/position.js';
 
-/** What one daemon, or several, have acknowledged. */
+/** Bounds of what one or more daemons have acknowledged. */
 export interface Acknowledged {
-  /** The latest commit that is known to have been acknowledged. */
+  /** Lower bound: the latest commit known to have been acknowledged. */
   readonly latest: Position;
-  /** None after this one has been acknowledged; `null` when that is not known. */
+  /** Upper bound: no later commit has been acknowledged; `null` if unknown. */
   readonly limit: Position | null;
 }
 
-/** What several have acknowledged together. */
+/** Combines the bounds of several daemons. */
 export function joinAcknowledged(parts: readonly Acknowledged[]): Acknowledged {
   return parts.reduce((all, part) => ({
     latest: laterPosition(all.latest, part.latest),
--- a/src/leadership/ended-members.ts
+++ b/src/leadership/ended-members.ts
@@ -1,49 +1,53 @@
 /**
- * Members that have ended, and how far the log had come when that was found out.
+ * Members that have ended, with the position of the log after their end was detected: their limit.
  *
- * A member that refuses connections does not say what it has received, and a commit may have been acknowledged on its
- * word alone. All of that is at or before the position that the leader gives afterwards. A replica that has come so far
- * holds it, too; and so does a new member at the same address, which is given the log.
+ * A member that refuses connections cannot report what it has received, and a commit may have been
+ * acknowledged because this member alone received it. Any such commit is at or before the position that the
+ * leader reports afterwards. A replica that has reached this position holds it too, and so does a new member
+ * at the same address, which takes over the log.
  *
  * @packageDocumentation
  */
 import { hasReached, type Position } from '../position/position.js';
 import type { Member, MemberEntry } from '../topology/member-group.js';
 
-/** A member that was paused for a promotion, with what it has received. */
+/** A member that was paused for a promotion, with its position. */
 export interface PausedMember {
   readonly entry: MemberEntry;
   readonly received: Position;
 }
 
-/** What one supervisor knows of the lives of its group that have ended. */
+/** The ended members of a group that one supervisor knows of. */
 export class EndedMembers {
   readonly #limits = new Map<Member, Position>();
 
-  /** True when it is known how far the log had come after the member had ended. */
+  /** True when the limit of an ended member is known. */
   has(member: Member): boolean {
     return this.#limits.has(member);
   }
 
-  /** The proven leader gave a position when it was asked after the member had refused a connection. */
+  /**
+   * Records the position that the proven leader reported when it was asked after the member had refused a
+   * connection.
+   */
   record(member: Member, position: Position): void {
     this.#limits.set(member, position);
   }
 
-  /** Forgets all members but these. */
+  /** Drops all members except these. */
   retain(members: Iterable<Member>): void {
     const kept = new Set(members);
     for (const member of this.#limits.keys()) if (!kept.has(member)) this.#limits.delete(member);
   }
 
-  /** Those of the members that refuse connections which may have received more than every paused one. */
+  /** Returns those members among `refusing` that may have received more than every paused one. */
   uncovered(refusing: readonly Member[], paused: readonly PausedMember[]): readonly Member[] {
     return refusing.filter((ended) => !paused.some((member) => this.#covers(member, ended)));
   }
 
   #covers({ entry, received }: PausedMember, ended: Member): boolean {
     const isSuccessor = entry.host === ended.entry.host && entry.port === ended.entry.port;
-    // The next life of the same member is given nothing of what the former had.
+    // The next incarnation of the same member does not take over the log of the earlier one.
     if (isSuccessor && entry.memberId !== ended.entry.memberId) return true;
     const limit = this.#limits.get(ended);
     return limit !== undefined && hasReached(received, limit);
--- a/src/leadership/leader-loss.ts
+++ b/src/leadership/leader-loss.ts
@@ -1,33 +1,40 @@
 /**
- * Since when the process of a leader has been known not to run.
+ * Tracks since when the process of the leader has been known not to run.
  *
- * Its log may hold the only copy that is left of a commit, so it is waited for. There is one wait for the group: a member
- * that starts again and again while nobody leads receives nothing that could be acknowledged, and begins no wait of its own.
+ * Its log may hold the only remaining copy of a commit, so a promotion waits for it. There is a single wait
+ * per group: a member that restarts repeatedly while the group has no leader receives nothing that could be
+ * acknowledged, and does not start another wait.
  *
  * @packageDocumentation
  */
 import { formatIncarnation, type Incarnation } from '../topology/incarnation.js';
 
-/** For how long a leader that does not run is waited for, in milliseconds: as long as a member whose entry is gone. */
-export const AWAITED_MS = 30_000;
+/**
+ * How long to wait for a leader that does not run, in milliseconds: the same as for a member whose entry has
+ * been removed.
+ */
+export const LEADER_WAIT_MS = 30_000;
 
-/** The last leader that one supervisor found not to run. */
+/** The last leader that one supervisor found not running. */
 export class LeaderLoss {
-  #last: { readonly life: string; readonly sinceMs: number } | null = null;
+  #last: { readonly incarnation: string; readonly sinceMs: number } | null = null;
 
-  /** The life refused a connection that was asked for at `nowMs`. */
+  /** Records that the incarnation refused a connection attempted at `nowMs`. */
   refused(incarnation: Incarnation, nowMs: number): void {
-    const life = formatIncarnation(incarnation);
-    if (this.#last?.life !== life) this.#last = { life, sinceMs: nowMs };
+    const formatted = formatIncarnation(incarnation);
+    if (this.#last?.incarnation !== formatted) this.#last = { incarnation: formatted, sinceMs: nowMs };
   }
 
-  /** The life answers after all. */
+  /** Records that the incarnation answers after all. */
   answered(incarnation: Incarnation): void {
-    if (this.#last?.life === formatIncarnation(incarnation)) this.#last = null;
+    if (this.#last?.incarnation === formatIncarnation(incarnation)) this.#last = null;
   }
 
-  /** True when the life has been waited for long enough. */
+  /** True when the wait for the incarnation is over. */
   isOver(incarnation: Incarnation, nowMs: number): boolean {
-    return this.#last?.life === formatIncarnation(incarnation) && nowMs - this.#last.sinceMs >= AWAITED_MS;
+    return (
+      this.#last?.incarnation === formatIncarnation(incarnation) &&
+      nowMs - this.#last.sinceMs >= LEADER_WAIT_MS
+    );
   }
 }
--- a/src/leadership/step-downs.ts
+++ b/src/leadership/step-downs.ts
@@ -1,8 +1,9 @@
 /**
- * What leaders held when they stepped down.
+ * Log positions of leaders at the time they stepped down.
  *
- * A leader that has stepped down commits nothing more in its term, and all that was acknowledged in it was in its log. So what it held
- * then bounds what can have been acknowledged, for good: also once daemons have started again that knew, and while replicas are away.
+ * A leader that has stepped down commits nothing more in its term, and all that was acknowledged in the term
+ * was in its log. So its position is a permanent upper bound of what was acknowledged, even after the daemons
+ * that knew have restarted, and while replicas are unreachable.
  *
  * @packageDocumentation
  */
@@ -10,13 +11,14 @@
 import { hasReached, laterPosition, type Position } from '../position/position.js';
 import type { Acknowledged } from './acknowledged.js';
 
-/** The last step down that one supervisor has brought about. */
+/** The last leader that one supervisor has demoted. */
 export class StepDowns {
   #last: { readonly term: number; readonly held: Position } | null = null;
 
   /**
-   * The leader of a term has stepped down, and says what it holds. One that holds nothing is another life; one that follows a later term
-   * already may have been cut back.
+   * Records the status of the leader of a term after it stepped down. A member with an empty log is another
+   * incarnation and is ignored; so is one that already follows a later term, whose log may have been
+   * truncated.
    */
   record(term: number, { term: followed, received }: MemberStatus): void {
     if (received.index === 0 || followed > term + 1 || received.term > term) return;
@@ -24,13 +26,13 @@
   }
 
   /**
-   * What is known to have been acknowledged by a promotion over `term`. A leader that held less than is known to have been acknowledged was
-   * another life: what it said bounds nothing.
+   * Adds the recorded bound to what the daemons reported for `term`. A member that held less than is known to
+   * have been acknowledged was another incarnation, so its position is no bound.
    */
-  bound(term: number, told: Acknowledged): Acknowledged {
-    if (this.#last?.term !== term || !hasReached(this.#last.held, told.latest)) return told;
+  bound(term: number, reported: Acknowledged): Acknowledged {
+    if (this.#last?.term !== term || !hasReached(this.#last.held, reported.latest)) return reported;
     const { held } = this.#last;
-    if (told.limit !== null && hasReached(held, told.limit)) return told;
-    return { latest: told.latest, limit: laterPosition(held, told.latest) };
+    if (reported.limit !== null && hasReached(held, reported.limit)) return reported;
+    return { latest: reported.latest, limit: laterPosition(held, reported.latest) };
   }
 }
