--- a/src/leadership/appointment.test.ts
+++ b/src/leadership/appointment.test.ts
@@ -71,8 +71,8 @@
   const ports = {
     call,
     status,
-    letGo: () => void orderedAtMs.push(now),
-    keepPaused: () => undefined,
+    renewRevocation: () => void orderedAtMs.push(now),
+    enforcePauses: () => undefined,
     now: () => now,
   };
   const running = appoint(ports, { oldTerm: OLD_TERM, received: { term: OLD_TERM, index: 1 } });
--- a/src/leadership/appointment.ts
+++ b/src/leadership/appointment.ts
@@ -1,8 +1,10 @@
 /**
- * Asks the platform to make a member lead, and waits until it does or until the platform can do it no more.
+ * Asks the platform to promote a member, and waits until the member leads or the platform cannot promote it
+ * any more.
  *
- * A call without a refusal may take effect long after it: until then nothing may be acknowledged that the named member has
- * not received. So the same member is named again rather than another, and the wait goes on beyond the last call.
+ * A call that was not refused may take effect long after it was made: until then, nothing may be acknowledged
+ * that the successor has not received. So the calls are repeated for the same member rather than another, and
+ * the wait extends beyond the last call.
  *
  * @packageDocumentation
  */
@@ -11,57 +13,67 @@
 import type { MemberStatus } from '../relay/member-link.js';
 import type { ControlAnswer } from './member-control.js';
 
-/** Longest wait for the platform's answer, in milliseconds. */
-const CALL_MS = 700;
-/** How often a platform that takes the calls is asked, and the time between, in milliseconds. */
-const CALLS = 2;
-const CALL_SPACING_MS = 1500;
+/** Time limit for the platform's answer, in milliseconds. */
+const CALL_TIMEOUT_MS = 700;
+/** Number of calls to a platform that answers them, and the interval between them, in milliseconds. */
+const MAX_ANSWERED_CALLS = 2;
+const CALL_INTERVAL_MS = 1500;
 /**
- * For how long one that gives no answer is asked again, and the time between, in milliseconds: it may be away for some seconds,
- * and naming the same member once more does no harm.
+ * Period in which calls without an answer are retried, and the retry interval, in milliseconds. The platform
+ * may be unreachable for some seconds, and repeating a call for the same member does no harm.
  */
-const RETRIED_MS = 4500;
-const RETRY_MS = 500;
-/** Time after a call in which the platform may act on it, in milliseconds: a slow one takes some seconds. */
-export const LATE_CALL_MS = 5000;
-/** How long the platform takes at least, in milliseconds: the member is not asked before. */
-const LEAST_MS = 100;
-/** Time between questions to the member, in milliseconds. */
-const LOOK_MS = 10;
-/** Time between questions once the member is late, in milliseconds. */
-const LATE_LOOK_MS = 100;
-/** Time between two orders to let go of the old leader, in milliseconds: one holds for less than the whole wait. */
-const LET_GO_MS = 700;
+const RETRY_PERIOD_MS = 4500;
+const RETRY_INTERVAL_MS = 500;
+/**
+ * Time after a call in which the platform may still execute it, in milliseconds: a slow platform takes some
+ * seconds.
+ */
+export const CALL_EFFECT_WINDOW_MS = 5000;
+/** Shortest time in which the platform promotes, in milliseconds: the member is not asked earlier. */
+const MIN_PROMOTION_MS = 100;
+/** Interval between status requests to the member, in milliseconds. */
+const POLL_INTERVAL_MS = 10;
+/** Interval between status requests after the last call, in milliseconds. */
+const LATE_POLL_INTERVAL_MS = 100;
+/**
+ * Interval at which the revocation of the old leader is renewed, in milliseconds: one order is valid for less
+ * than the whole wait.
+ */
+const REVOCATION_RENEWAL_MS = 700;
 
-/** What an appointment needs. */
+/** Dependencies of an appointment. */
 export interface AppointmentPorts {
-  /** Calls the platform; false when it refused, `null` when the duty is not held for long enough any more. */
+  /** Calls the platform; false when it refused, `null` when the duty is not held for long enough to call. */
   call(timeoutMs: number): Promise<boolean> | null;
   /** Asks the member for its status. */
   status(): Promise<ControlAnswer>;
-  /** Asks all daemons again to let go of the old leader. */
-  letGo(): void;
-  /** Sees that the other replicas stay paused; called with each question to the member. */
-  keepPaused(): void;
+  /** Repeats the order to all daemons that revokes the old leader. */
+  renewRevocation(): void;
+  /** Checks that the other replicas are still paused; called with each status request to the member. */
+  enforcePauses(): void;
   now(): number;
 }
 
 /**
- * How an appointment ended. `leads`: the member leads with all that it had received; `lacks`: it leads with less, so another life goes
- * by its id; `ended`: its process had ended, and no call is left that could have made its next life lead; `not_done`: it does not
- * lead, and no call is left that may still make it lead.
+ * Result of an appointment. `leads`: the member leads and holds all that it had received; `lacks`: it leads
+ * with less, so it is another incarnation with the same id; `ended`: its process has ended, and no open call
+ * can promote its next incarnation any more; `not_done`: it does not lead, and no open call can promote it
+ * any more.
  */
 export type AppointmentOutcome =
   | {
       readonly kind: 'leads' | 'lacks';
       readonly status: MemberStatus;
-      /** Until when a further call may make the member lead again, in monotonic milliseconds; `null` when there was one call. */
+      /**
+       * Until when another open call may promote the member again, in monotonic milliseconds; `null` when
+       * there was one call.
+       */
       readonly openUntilMs: number | null;
     }
   | { readonly kind: 'ended' }
   | { readonly kind: 'not_done' };
 
-/** Whom to appoint over whom. */
+/** The member to appoint, and the term it replaces. */
 export interface Appointee {
   /** Term of the leader that is replaced. */
   readonly oldTerm: number;
@@ -69,49 +81,54 @@
   readonly received: Position;
 }
 
-/** Has a member lead a term after the old one. */
+/** Promotes a member to lead a term after the old one. */
 export async function appoint(ports: AppointmentPorts, appointee: Appointee): Promise<AppointmentOutcome> {
   const appointment = new Appointment(ports, appointee);
-  const untilMs = ports.now() + RETRIED_MS;
+  const untilMs = ports.now() + RETRY_PERIOD_MS;
   for (let number = 1; appointment.mayCall; number += 1) {
     const outcome = await appointment.attempt();
     if (outcome !== null) return outcome;
     if (!appointment.isOpen) return NOT_DONE;
     if (appointment.hasEnded) break;
     const isRetried = appointment.isUnanswered && ports.now() < untilMs;
-    if (number >= CALLS && !isRetried) break;
+    if (number >= MAX_ANSWERED_CALLS && !isRetried) break;
   }
-  return appointment.awaitLate();
+  return appointment.awaitLateEffect();
 }
 
 const NOT_DONE: AppointmentOutcome = { kind: 'not_done' };
 
 class Appointment {
-  /** A call has been made that the platform has not refused. */
+  /** True when a call has been made that the platform has not refused. */
   isOpen = false;
-  /** The member's process has ended: it is not named again, but its next life may be made to lead. */
+  /**
+   * The member's process has ended: no more calls are made, but an open one may promote its next incarnation.
+   */
   hasEnded = false;
-  /** False once the duty is not held for long enough any more. */
+  /** False once the duty is not held for long enough to call. */
   mayCall = true;
   /** The last call got no answer. */
   isUnanswered = false;
   #calledAtMs = Number.NEGATIVE_INFINITY;
-  /** Calls that the platform has not refused. */
+  /** Number of calls that the platform has not refused. */
   #openCalls = 0;
-  /** When daemons were last asked to let go. Calls do not count: they may follow each other faster than orders. */
-  #letGoAtMs: number;
+  /**
+   * When the revocation was last renewed. Independent of the calls, which may follow each other faster than
+   * the orders.
+   */
+  #revocationRenewedAtMs: number;
 
   constructor(
     private readonly ports: AppointmentPorts,
     private readonly appointee: Appointee,
   ) {
-    this.#letGoAtMs = ports.now();
+    this.#revocationRenewedAtMs = ports.now();
   }
 
-  /** One call, and the usual wait for its effect. */
+  /** Makes one call and waits for its effect until the next call is due. */
   async attempt(): Promise<AppointmentOutcome | null> {
     const { ports } = this;
-    const call = ports.call(CALL_MS);
+    const call = ports.call(CALL_TIMEOUT_MS);
     if (call === null) {
       this.mayCall = false;
       return null;
@@ -123,17 +140,17 @@
     let isRefused = false;
     this.isUnanswered = false;
     const refusal = new Promise<void>((resolve) => {
-      const told = (accepted: boolean): void => {
+      const onReply = (accepted: boolean): void => {
         isRefused = !accepted;
         if (isRefused) resolve();
       };
-      call.then(told, () => (this.isUnanswered = true));
+      call.then(onReply, () => (this.isUnanswered = true));
     });
-    await Promise.race([refusal, delay(LEAST_MS)]);
-    while (!isRefused && !this.hasEnded && ports.now() - this.#calledAtMs < this.#spacingMs) {
-      const outcome = await this.#look();
+    await Promise.race([refusal, delay(MIN_PROMOTION_MS)]);
+    while (!isRefused && !this.hasEnded && ports.now() - this.#calledAtMs < this.#callIntervalMs) {
+      const outcome = await this.#pollMember();
       if (outcome !== null) return outcome;
-      await Promise.race([refusal, delay(LOOK_MS)]);
+      await Promise.race([refusal, delay(POLL_INTERVAL_MS)]);
     }
     if (isRefused) {
       this.isOpen = wasOpen;
@@ -142,36 +159,36 @@
     return null;
   }
 
-  get #spacingMs(): number {
-    return this.isUnanswered ? RETRY_MS : CALL_SPACING_MS;
+  get #callIntervalMs(): number {
+    return this.isUnanswered ? RETRY_INTERVAL_MS : CALL_INTERVAL_MS;
   }
 
-  /** Waits until the platform can act on no call any more. */
-  async awaitLate(): Promise<AppointmentOutcome> {
-    while (this.ports.now() - this.#calledAtMs < LATE_CALL_MS) {
-      const outcome = await this.#look();
+  /** Waits until the platform cannot execute any call any more. */
+  async awaitLateEffect(): Promise<AppointmentOutcome> {
+    while (this.ports.now() - this.#calledAtMs < CALL_EFFECT_WINDOW_MS) {
+      const outcome = await this.#pollMember();
       if (outcome !== null) return outcome;
-      await delay(LATE_LOOK_MS);
+      await delay(LATE_POLL_INTERVAL_MS);
     }
     return this.hasEnded ? { kind: 'ended' } : NOT_DONE;
   }
 
-  /** What has become of the member, or `null` while it neither leads nor has ended. */
-  async #look(): Promise<AppointmentOutcome | null> {
+  /** Asks the member for its status; `null` while it does not lead. */
+  async #pollMember(): Promise<AppointmentOutcome | null> {
     const { ports } = this;
-    if (ports.now() - this.#letGoAtMs > LET_GO_MS) {
-      this.#letGoAtMs = ports.now();
-      ports.letGo();
+    if (ports.now() - this.#revocationRenewedAtMs > REVOCATION_RENEWAL_MS) {
+      this.#revocationRenewedAtMs = ports.now();
+      ports.renewRevocation();
     }
-    ports.keepPaused();
+    ports.enforcePauses();
     const answer = await ports.status();
-    // The platform may start it again, and act on the next life: the call stays open.
+    // The platform may restart the member and promote the next incarnation: the call stays open.
     if (answer.kind === 'refused') this.hasEnded = true;
     if (answer.kind !== 'answered') return null;
     const { status } = answer;
     if (!status.isPrimary || status.term <= this.appointee.oldTerm) return null;
     const holdsAll = hasReached(status.received, this.appointee.received);
-    const openUntilMs = this.#openCalls > 1 ? this.#calledAtMs + LATE_CALL_MS : null;
+    const openUntilMs = this.#openCalls > 1 ? this.#calledAtMs + CALL_EFFECT_WINDOW_MS : null;
     return { kind: holdsAll ? 'leads' : 'lacks', status, openUntilMs };
   }
 }
--- a/src/leadership/choose-successor.ts
+++ b/src/leadership/choose-successor.ts
@@ -6,40 +6,41 @@
 import { comparePositions, hasReached, type Position } from '../position/position.js';
 import type { Acknowledged } from './acknowledged.js';
 
-/** A member that was paused for the promotion, or demoted, with what it then said. */
+/** A member that was paused for the promotion, or demoted, with its status after that. */
 export interface SuccessorCandidate {
   readonly memberId: string;
   readonly received: Position;
   readonly isLeaving: boolean;
-  /** Since when its life has been known, in monotonic milliseconds. */
+  /** Since when its incarnation has been known, in monotonic milliseconds. */
   readonly knownSinceMs: number;
 }
 
-/** What is known at the time of the choice. */
-export interface SuccessorQuestion {
+/** Input of the choice. */
+export interface SuccessorInput {
   readonly candidates: readonly SuccessorCandidate[];
-  /** Members that could hold more but did not answer: replicas that could not be paused. */
+  /** Number of members that may hold more but could not be paused. */
   readonly missing: number;
   readonly acknowledged: Acknowledged;
 }
 
 /**
- * The member that holds every acknowledged commit, or `null` when that cannot be shown.
+ * Returns the member that is proven to hold every acknowledged commit, or `null` when there is no proof for
+ * any.
  *
- * With all replicas paused, the one that has received the most holds all: each acknowledged commit was received
- * by one of them, and logs are prefixes of each other. What the daemons have acknowledged has to be covered all
- * the same as far as it is known, also when one of them was not heard: a member that nobody lists any more may have
- * received a commit. With some missing, all that daemons may have acknowledged has
- * to be covered.
+ * With all replicas paused, the one that has received the most holds all: each acknowledged commit was
+ * received by one of them, and logs are prefixes of each other. It must still cover every commit that daemons
+ * are known to have acknowledged, even if a daemon did not answer: a member that is not listed any more may
+ * have received a commit. With replicas missing, it must cover everything that the daemons may have
+ * acknowledged.
  */
-export function chooseSuccessor(question: SuccessorQuestion): SuccessorCandidate | null {
+export function chooseSuccessor(input: SuccessorInput): SuccessorCandidate | null {
   let best: SuccessorCandidate | null = null;
-  for (const candidate of question.candidates) {
+  for (const candidate of input.candidates) {
     if (best === null || isBetter(candidate, best)) best = candidate;
   }
   if (best === null) return null;
-  const { latest, limit } = question.acknowledged;
-  const required = question.missing > 0 ? limit : latest;
+  const { latest, limit } = input.acknowledged;
+  const required = input.missing > 0 ? limit : latest;
   return required !== null && hasReached(best.received, required) ? best : null;
 }
 
@@ -47,6 +48,7 @@
   const order = comparePositions(candidate.received, best.received);
   if (order !== 0) return order > 0;
   if (best.isLeaving !== candidate.isLeaving) return best.isLeaving;
-  // One that has just started is the likeliest to start again, empty, before the platform acts: that cannot be taken back.
+  // A member that has just started is the most likely to restart, empty, before the platform promotes it, and
+  // a call to the platform cannot be withdrawn.
   return candidate.knownSinceMs < best.knownSinceMs;
 }
--- a/src/leadership/last-led.ts
+++ b/src/leadership/last-led.ts
@@ -1,25 +1,25 @@
 /**
- * Who led a group last, as daemons have heard it. Pure.
+ * The last leader of a group, as known to daemons. Pure.
  *
  * @packageDocumentation
  */
 import type { Incarnation } from '../topology/incarnation.js';
 
-/** A life that led a term. */
+/** An incarnation of a member that led a term. */
 export interface LastLed {
   readonly term: number;
   readonly life: Incarnation;
 }
 
-/** The youngest life that somebody has heard to lead this very term, or `null`. */
-export function lifeThatLed(
+/** The latest incarnation reported as the leader of exactly this term, or `null`. */
+export function findLeaderOfTerm(
   term: number,
-  heard: readonly (LastLed | null | undefined)[],
+  reported: readonly (LastLed | null | undefined)[],
 ): Incarnation | null {
-  let youngest: Incarnation | null = null;
-  for (const led of heard) {
+  let latest: Incarnation | null = null;
+  for (const led of reported) {
     if (led?.term !== term) continue;
-    if (youngest === null || (led.life.bornMs ?? 0) > (youngest.bornMs ?? 0)) youngest = led.life;
+    if (latest === null || (led.life.bornMs ?? 0) > (latest.bornMs ?? 0)) latest = led.life;
   }
-  return youngest;
+  return latest;
 }
--- a/src/leadership/open-calls.ts
+++ b/src/leadership/open-calls.ts
@@ -1,37 +1,42 @@
 /**
- * Calls of the platform that may act though a member leads by an earlier one, or though their holder of the duty is one no more.
+ * Open calls: promotion calls that the platform may still execute, although an earlier call has already taken
+ * effect or the daemon that made them does not hold the promotion duty any more.
  *
- * A call for the member that leads changes nothing; once that member is replaced, one that is open still would make it lead again, without the
- * commits since. So the daemons are told of each call before it is made, and tell the next holder.
+ * A call for the member that leads changes nothing. But if that member is replaced while a call for it is
+ * open, the call would make it lead again, without the commits since. So the daemons are informed of each
+ * call before it is made, and report it to the next duty holder.
  *
  * @packageDocumentation
  */
 
-/** A call that may still act, as daemons are told of it. */
+/** An open call, as it is sent to and reported by daemons. */
 export interface OpenCall {
-  /** Whom it names. */
+  /** The member to be promoted. */
   readonly memberId: string;
-  /** Fence of the holder that makes it. */
+  /** Fencing token of the duty holder that makes the call. */
   readonly fence: number;
-  /** For how long it may act from when this is told, in milliseconds. */
+  /** For how long the platform may execute the call, counted from when this is sent, in milliseconds. */
   readonly leftMs: number;
 }
 
-/** What one daemon has been told of calls for one group. Times are passed in, in monotonic milliseconds. */
+/**
+ * The last call for one group that a daemon has been informed of. Times are passed in, in monotonic
+ * milliseconds.
+ */
 export class CallNote {
   #last: { readonly memberId: string; readonly fence: number; readonly untilMs: number } | null = null;
 
-  /** The holder of the duty is about to make a call, or may have open ones still. */
+  /** Records a call that the duty holder is about to make or that may still be open. */
   note({ memberId, fence, leftMs }: OpenCall, nowMs: number): void {
     this.#last = { memberId, fence, untilMs: nowMs + leftMs };
   }
 
-  /** No call is open any more. */
+  /** Records that no call is open any more. */
   clear(): void {
     this.#last = null;
   }
 
-  /** The last call that was told, if it may still act. */
+  /** The last recorded call, if the platform may still execute it. */
   open(nowMs: number): OpenCall | null {
     if (this.#last === null || nowMs >= this.#last.untilMs) return null;
     const { memberId, fence, untilMs } = this.#last;
@@ -39,30 +44,33 @@
   }
 }
 
-/** Calls that keep one supervisor from naming anybody. */
+/** Open calls that a supervisor must wait out before it calls the platform for another member. */
 export class OpenCalls {
   #untilMs = Number.NEGATIVE_INFINITY;
-  /** Whom a call of an earlier holder names, which may come to lead at any time. */
-  #awaitedId: string | null = null;
+  /** The member in a call of an earlier duty holder, which may start to lead at any time. */
+  #earlierSuccessorId: string | null = null;
 
-  /** A member leads by one of several calls; the others may act until then, in monotonic milliseconds. */
+  /**
+   * Records until when calls may still be executed after one of several took effect, in monotonic
+   * milliseconds.
+   */
   record(openUntilMs: number | null): void {
     if (openUntilMs !== null) this.#untilMs = Math.max(this.#untilMs, openUntilMs);
   }
 
-  /** An earlier holder of the duty has made a call. */
+  /** Records a call of an earlier duty holder. */
   recordEarlier({ memberId, leftMs }: OpenCall, nowMs: number): void {
-    this.#awaitedId = memberId;
+    this.#earlierSuccessorId = memberId;
     this.record(nowMs + leftMs);
   }
 
-  /** Until when no member may be named, in monotonic milliseconds. */
+  /** Until when the platform must not be called for another member, in monotonic milliseconds. */
   get untilMs(): number {
     return this.#untilMs;
   }
 
-  /** The member that an earlier holder's call names, or `null`. */
-  get awaitedId(): string | null {
-    return this.#awaitedId;
+  /** The member in a call of an earlier duty holder, or `null`. */
+  get earlierSuccessorId(): string | null {
+    return this.#earlierSuccessorId;
   }
 }
--- a/src/leadership/order-outcomes.ts
+++ b/src/leadership/order-outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * What the outcomes of an order say of the daemons that were given it. Pure.
+ * Evaluates the answers of daemons to an order. Pure.
  *
  * @packageDocumentation
  */
@@ -9,62 +9,78 @@
 import type { Acknowledged } from './acknowledged.js';
 
 /** True when a daemon has not answered: it may still hold evidence. */
-export function hasSilent(outcomes: ReadonlyMap<string, OrderOutcome>): boolean {
+export function hasUnanswered(outcomes: ReadonlyMap<string, OrderOutcome>): boolean {
   return [...outcomes.values()].some((outcome) => outcome.kind === 'silent');
 }
 
-/** Names of the daemons that did not say what they have acknowledged. */
-export function unheard(outcomes: ReadonlyMap<string, OrderOutcome>): string {
+/** Names of the daemons that did not report what they have acknowledged. */
+export function namesWithoutAnswer(outcomes: ReadonlyMap<string, OrderOutcome>): string {
   const names = [...outcomes].filter(([, { kind }]) => kind !== 'answered').map(([name]) => name);
   return names.join(',');
 }
 
-/** What a daemon has acknowledged that was not heard. */
-const UNHEARD: Acknowledged = { latest: ZERO_POSITION, limit: null };
+/** What a daemon has acknowledged that did not answer. */
+const UNKNOWN: Acknowledged = { latest: ZERO_POSITION, limit: null };
 
-/** A position of the leader that holds all that was acknowledged before a time, or `null` where none is known. */
-export type LedSince = (ms: number) => Position | null;
+/**
+ * Returns a position of the leader that covers all that was acknowledged before a time, or `null` if none is
+ * known.
+ */
+export type LeaderPositionSince = (ms: number) => Position | null;
 
 /**
- * What a daemon has acknowledged, as far as it was heard. An earlier process of it acknowledged nothing after the present one began to count, nor
- * after it was seen to have ended, so a position of the leader since then is a limit, also where that daemon itself has seen no leader.
+ * What a daemon has acknowledged, as far as its answer shows. Earlier processes of the daemon acknowledged
+ * nothing after the present one began to count, nor after they were found to have ended. So a leader position
+ * from after that time is a limit, even if the present process has no limit of its own because it has not
+ * seen a leader yet.
  *
- * @param heardAtMs - when its answer was there at the latest, in monotonic milliseconds
+ * @param answeredAtMs - time by which the answer had arrived, in monotonic milliseconds
  */
-export function acknowledgedBy(outcome: OrderOutcome, heardAtMs: number, ledSince: LedSince): Acknowledged {
+export function acknowledgedBy(
+  outcome: OrderOutcome,
+  answeredAtMs: number,
+  leaderPositionSince: LeaderPositionSince,
+): Acknowledged {
   switch (outcome.kind) {
     case 'silent':
-      return UNHEARD;
+      return UNKNOWN;
     case 'gone': {
       const { absence } = outcome;
-      return absence === undefined ? UNHEARD : { latest: ZERO_POSITION, limit: ledSince(absence.sinceMs) };
+      return absence === undefined
+        ? UNKNOWN
+        : { latest: ZERO_POSITION, limit: leaderPositionSince(absence.sinceMs) };
     }
     case 'answered': {
       const { latest, limit, countedMs } = outcome.answer;
       if (limit !== null || countedMs === undefined) return { latest, limit };
-      const led = ledSince(formerEnd(outcome, heardAtMs - countedMs));
-      return { latest, limit: led === null ? null : laterPosition(latest, led) };
+      const leaderPosition = leaderPositionSince(earlierProcessesEndedMs(outcome, answeredAtMs - countedMs));
+      return { latest, limit: leaderPosition === null ? null : laterPosition(latest, leaderPosition) };
     }
   }
 }
 
-/** When the former processes of a daemon had ended at the latest. */
-function formerEnd({ absence }: { readonly absence?: Absence }, countsFromMs: number): number {
+/** Time by which the earlier processes of a daemon had ended, in monotonic milliseconds. */
+function earlierProcessesEndedMs({ absence }: { readonly absence?: Absence }, countsFromMs: number): number {
   const ended = absence === undefined ? null : endedBefore(absence, countsFromMs);
   return ended === null ? countsFromMs : Math.min(ended, countsFromMs);
 }
 
 /**
- * Positions of the leader as this daemon and those that were asked know them.
+ * Combines the leader positions known to this daemon with those reported by the daemons that were asked. The
+ * lowest position asked for at or after the given time is used.
  *
- * @param askedAtMs - when those were asked, in monotonic milliseconds
+ * @param askedAtMs - when those daemons were asked, in monotonic milliseconds
  */
-export function ledSinceOf(own: LedSince, outcomes: Iterable<OrderOutcome>, askedAtMs: number): LedSince {
-  const told = [...outcomes].flatMap((outcome) =>
+export function mergeLeaderPositions(
+  own: LeaderPositionSince,
+  outcomes: Iterable<OrderOutcome>,
+  askedAtMs: number,
+): LeaderPositionSince {
+  const reported = [...outcomes].flatMap((outcome) =>
     outcome.kind === 'answered' && outcome.answer.led !== undefined ? [outcome.answer.led] : [],
   );
   return (ms) => {
-    const since = told.filter(({ ageMs }) => askedAtMs - ageMs >= ms).map(({ position }) => position);
+    const since = reported.filter(({ ageMs }) => askedAtMs - ageMs >= ms).map(({ position }) => position);
     const ownSince = own(ms);
     if (ownSince !== null) since.push(ownSince);
     return since.reduce<Position | null>(
--- a/src/leadership/promotion.ts
+++ b/src/leadership/promotion.ts
@@ -1,11 +1,16 @@
 /**
- * One promotion: has a member lead that is proven to hold every acknowledged commit, and is proven to do so at the last moment
- * before the platform is called.
+ * One promotion: replaces the leader of a group by a member that is proven, immediately before the platform
+ * is called, to hold every acknowledged commit.
  *
- * Every daemon lets go of the leader, and the replicas are paused; the evidence of daemons that do not answer lapses. Then every daemon says
- * its last word: it acknowledges nothing of the old term after it. Only after that all replicas that are listed by then are looked at
- * once more: their pauses must stand, and what they have received decides. What was said or listed before proves nothing: a replica
- * may have started, or started again, and received on, as long as a daemon acknowledged what the old leader answered.
+ * 1. Revoke: every daemon drops its evidence of the old leader, and the replicas are paused. The evidence of
+ *    daemons that do not answer is waited out.
+ * 2. Seal: every daemon reports what it has acknowledged, and acknowledges nothing of the old term after that
+ *    reply.
+ * 3. Final check: all replicas listed by then are asked again. Their pauses must still hold; the successor is
+ *    chosen by the positions that they report.
+ *
+ * Replies and member lists from before the seal prove nothing: as long as a daemon still acknowledged commits
+ * of the old leader, a replica may have started or restarted and received more of them.
  *
  * @packageDocumentation
  */
@@ -16,44 +21,49 @@
 import { formatIncarnation, type Incarnation } from '../topology/incarnation.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import { joinAcknowledged, type Acknowledged } from './acknowledged.js';
-import { appoint, LATE_CALL_MS, type AppointmentOutcome } from './appointment.js';
+import { appoint, CALL_EFFECT_WINDOW_MS, type AppointmentOutcome } from './appointment.js';
 import { chooseSuccessor, type SuccessorCandidate } from './choose-successor.js';
 import { EVIDENCE_MS, REGISTRATION_SETTLE_MS } from './leadership-evidence.js';
 import type { GroupSupervisorOptions } from './group-supervisor.js';
-import { lifeThatLed, type LastLed } from './last-led.js';
+import { findLeaderOfTerm, type LastLed } from './last-led.js';
 import type { LeaderLoss } from './leader-loss.js';
 import type { OpenCall, OpenCalls } from './open-calls.js';
 import type { StepDowns } from './step-downs.js';
-import { acknowledgedBy, hasSilent, ledSinceOf, unheard } from './order-outcomes.js';
-import { describeMissing, type MissingLife } from './missing-life.js';
-import type { Paused, Pauses, ReplicaPauses } from './replica-pauses.js';
+import { acknowledgedBy, hasUnanswered, mergeLeaderPositions, namesWithoutAnswer } from './order-outcomes.js';
+import { describeMissing, type MissingIncarnation } from './missing-incarnation.js';
+import type { PausedReplica, PauseSummary, ReplicaPauses } from './replica-pauses.js';
 
 /**
- * Pauses that took this much less than daemons wait before they count evidence came late: one that registered meanwhile
- * may hold some, in milliseconds.
+ * Safety margin before the end of the registration wait, in milliseconds. Pauses that complete within this
+ * margin of it count as late: a daemon that registered in the meantime may already hold evidence.
+ */
+const REGISTRATION_MARGIN_MS = 100;
+/** Time limit for the other daemons to answer an order, in milliseconds. */
+const ORDER_TIMEOUT_MS = 200;
+/** Time limit for a member to report its status, in milliseconds. */
+const STATUS_TIMEOUT_MS = 200;
+/** A leader that answered within this time is demoted before the successor is promoted, in milliseconds. */
+const RECENT_ANSWER_MS = 100;
+/** Time for requests in flight at a leaving leader to complete, in milliseconds. */
+const HANDOVER_DRAIN_MS = 60;
+/**
+ * Interval between status requests to the member named in a call of an earlier duty holder, in milliseconds.
+ */
+const EARLIER_CALL_POLL_MS = 100;
+/**
+ * Interval at which revoke and seal orders are repeated during a wait, in milliseconds: one order is valid
+ * for less than the whole wait.
  */
-const REGISTER_MARGIN_MS = 100;
-/** Longest wait for the other daemons, in milliseconds. */
-const ORDER_MS = 200;
-/** Longest wait for a member's status, in milliseconds. */
-const STATUS_MS = 200;
-/** A leader that answered within this time is asked to step down first, in milliseconds. */
-const ALIVE_MS = 100;
-/** How long requests under way at a leader that leaves may take to end, in milliseconds. */
-const HANDOVER_REST_MS = 60;
-/** Time between two questions to a member that an earlier holder has named, in milliseconds. */
-const AWAITED_LOOK_MS = 100;
-/** Time between two orders to let go while evidence is waited out, in milliseconds: one holds for less than the whole wait. */
-const REVOKE_AGAIN_MS = 700;
-/** Time between two looks at the other replicas while the platform acts, in milliseconds. */
-const KEEP_PAUSED_MS = 100;
-/** A promotion is called for only when the duty is held this much longer, in milliseconds. */
+const REVOCATION_RENEWAL_MS = 700;
+/** Interval between checks of the other replicas' pauses while the platform promotes, in milliseconds. */
+const PAUSE_CHECK_INTERVAL_MS = 100;
+/** Time for which the promotion duty must still be held when the platform is called, in milliseconds. */
 export const DUTY_RESERVE_MS = 400;
 
-/** An order to daemons to let go of a leader. */
-type LetGoOrder = Extract<HolderOrder, { kind: 'revoke' | 'seal' }>;
+/** An order to daemons to drop their evidence of a leader. */
+type RevocationOrder = Extract<HolderOrder, { kind: 'revoke' | 'seal' }>;
 
-/** What a promotion needs beside what its supervisor has. */
+/** Dependencies of a promotion. */
 export interface PromotionPorts {
   readonly group: MemberGroup;
   readonly pauses: ReplicaPauses;
@@ -61,53 +71,60 @@
   readonly stepDowns: StepDowns;
   readonly openCalls: OpenCalls;
   readonly leaderLoss: LeaderLoss;
-  /** The term in which something may have been acknowledged last: the first of the promotions that follow each other is over it. */
+  /**
+   * The latest term in which commits may have been acknowledged: the one replaced by the first of a series of
+   * promotions.
+   */
   readonly lastTerm: number;
-  /** Who led last when that one began, as far as this daemon had heard. */
+  /** The last leader that this daemon knew of when that first promotion began. */
   readonly lastLed: LastLed | null;
-  /** The members to be asked as they are known now: all but the leader. */
+  /** All members known now except the leader. */
   others(): readonly Member[];
-  /** The fence while the supervision acts under the duty for so many milliseconds more, or `null`. */
+  /**
+   * The fencing token if the supervision holds the promotion duty for at least `reserveMs` more, else `null`.
+   */
   fence(reserveMs: number): number | null;
 }
 
-/** How a promotion went. */
+/** Result of a promotion. */
 export type PromotionOutcome =
   | { readonly kind: 'led'; readonly leader: Member }
   | { readonly kind: 'given_up' }
-  /** To be followed by another at once, over this leader; the replicas are paused still. */
+  /** Another promotion must follow at once, replacing this leader; the replicas are still paused. */
   | { readonly kind: 'again'; readonly leader: Member | null; readonly reason: string };
 
-/** What is known at the last moment before the choice. */
-interface LastLook {
-  readonly paused: readonly Paused[];
-  readonly missing: readonly MissingLife[];
-  /** No replica had lost its pause. */
-  readonly stands: boolean;
+/** Result of the final check, on which the choice of the successor is based. */
+interface FinalCheck {
+  readonly paused: readonly PausedReplica[];
+  readonly missing: readonly MissingIncarnation[];
+  /** False when a replica was found not to be paused any more. */
+  readonly allPausesHold: boolean;
 }
 
-/** One promotion over a leader. */
+/** One attempt to replace a leader. */
 export class Promotion {
   readonly #startedAtMs: number;
   readonly #term: number;
-  readonly #isAlive: boolean;
-  /** Replicas whose pause is being looked at. */
-  readonly #lookedAt = new Set<Member>();
-  #keptAtMs = Number.NEGATIVE_INFINITY;
-  /** When the daemons had let go that did. */
-  #letGoAtMs = Number.NEGATIVE_INFINITY;
-  /** A daemon did not say that it let go: it may hold evidence for as long as that lasts. */
-  #isOneSilent = false;
-  /** No pause is taken any more. */
+  readonly #isLeaderResponsive: boolean;
+  /** Replicas with a pause check in flight. */
+  readonly #pauseChecks = new Set<Member>();
+  #pausesCheckedAtMs = Number.NEGATIVE_INFINITY;
+  /** When the answers to the revoke order were in. */
+  #revokedAtMs = Number.NEGATIVE_INFINITY;
+  /** A daemon did not confirm an order: it may hold evidence until that expires. */
+  #hasUnansweredDaemon = false;
+  /** The promotion has ended or was given up: no more replicas are paused. */
   #isOver = false;
-  /** The life that led the last term in which something may have been acknowledged; `null` while nobody is known to know. */
-  #ledBy: Incarnation | null = null;
-  /** The last call of the platform, and until when it may act. */
-  #call: { readonly memberId: string; readonly fence: number; readonly untilMs: number } | null = null;
-  /** All members that were asked to pause. */
-  readonly #asked = new Set<Member>();
+  /**
+   * The incarnation that led the last term in which commits may have been acknowledged; `null` while unknown.
+   */
+  #lastLeader: Incarnation | null = null;
+  /** The last call to the platform, and until when the platform may still execute it. */
+  #lastCall: { readonly memberId: string; readonly fence: number; readonly untilMs: number } | null = null;
+  /** All members that were sent a pause request. */
+  readonly #pauseRequested = new Set<Member>();
   /** All members that were paused. */
-  readonly #paused = new Set<Member>();
+  readonly #everPaused = new Set<Member>();
 
   /** @param leader - the member to be replaced; `null` when every member may succeed */
   constructor(
@@ -118,11 +135,11 @@
     const { options, group } = ports;
     this.#startedAtMs = options.now();
     this.#term = group.evidence.leader?.term ?? group.evidence.minimumTerm;
-    this.#isAlive =
-      leader !== null && (leader.isLeaving || this.#startedAtMs - leader.answeredAtMs < ALIVE_MS);
+    this.#isLeaderResponsive =
+      leader !== null && (leader.isLeaving || this.#startedAtMs - leader.answeredAtMs < RECENT_ANSWER_MS);
   }
 
-  /** Promotes, or gives up and lets members and daemons go on. */
+  /** Promotes a successor, or gives up, resumes the replicas and lifts the revocation. */
   async run(): Promise<PromotionOutcome> {
     const { options, group } = this.ports;
     const others = this.ports.others();
@@ -133,20 +150,24 @@
       reason: this.reason,
       others: others.map(({ entry }) => formatIncarnation(entry)).join(','),
     });
-    const { pauses, outcomes } = await this.#letGo(others);
-    const words = await this.#takeLastWords(outcomes);
+    const { pauses, outcomes } = await this.#revokeAndPause(others);
+    const sealReplies = await this.#sealDaemons(outcomes);
     await this.#awaitOpenCalls();
-    const look = await this.#lastLook(pauses);
-    if (this.#isSuperseded()) return this.#giveUp(look);
-    this.#noteOwnLife(look);
-    const told = joinAcknowledged([group.acknowledged, ...words]);
-    // A daemon that is silent may still hold evidence of a replica that is missing.
-    const acknowledged = this.#isOneSilent ? told : this.ports.stepDowns.bound(this.#term, told);
-    const successor = this.#choose(look, acknowledged, unheard(outcomes));
-    if (successor === null) return this.#giveUp(look);
-    if (this.#isAlive) {
-      // A leader that steps down for a call that cannot be made leaves the group without one.
-      if (this.ports.fence(DUTY_RESERVE_MS + STATUS_MS) === null) return this.#giveUp(look, successor);
+    const check = await this.#finalCheck(pauses);
+    if (this.#isSuperseded()) return this.#giveUp(check);
+    this.#recordLastLeaderPosition(check);
+    const reported = joinAcknowledged([group.acknowledged, ...sealReplies]);
+    // A daemon that did not answer may still hold evidence from a missing replica.
+    const acknowledged = this.#hasUnansweredDaemon
+      ? reported
+      : this.ports.stepDowns.bound(this.#term, reported);
+    const successor = this.#choose(check, acknowledged, namesWithoutAnswer(outcomes));
+    if (successor === null) return this.#giveUp(check);
+    if (this.#isLeaderResponsive) {
+      // If the leader stepped down and the platform could not be called, the group would be left without a
+      // leader.
+      if (this.ports.fence(DUTY_RESERVE_MS + STATUS_TIMEOUT_MS) === null)
+        return this.#giveUp(check, successor);
       await this.#demoteLeader();
     }
     const outcome = await this.#appoint(successor);
@@ -156,209 +177,244 @@
         this.#announce(successor.member, outcome.status);
         return this.#end(successor);
       case 'lacks':
-        return this.#replaceShort(successor, outcome.status, look);
+        return this.#handleIncompleteLeader(successor, outcome.status, check);
       case 'ended':
-        // The platform may start the member again and have it lead: the pauses stay until another does.
-        if (this.ports.fence(0) === null) return this.#giveUp(look, successor);
-        return { kind: 'again', leader: this.leader, reason: 'the named member has ended' };
+        // The platform may restart the member and promote it: the replicas stay paused until another member
+        // leads.
+        if (this.ports.fence(0) === null) return this.#giveUp(check, successor);
+        return { kind: 'again', leader: this.leader, reason: 'the successor has ended' };
       case 'not_done':
-        return this.#giveUp(look, successor);
+        return this.#giveUp(check, successor);
     }
   }
 
   /**
-   * Has all daemons let go of the leader and pauses the replicas; returns when the evidence of daemons that did not answer has lapsed.
+   * Revokes the evidence of the leader at all daemons and pauses the replicas; resolves once the evidence of
+   * daemons that did not answer has expired.
    */
-  async #letGo(
+  async #revokeAndPause(
     others: readonly Member[],
-  ): Promise<{ readonly pauses: Pauses; readonly outcomes: ReadonlyMap<string, OrderOutcome> }> {
+  ): Promise<{ readonly pauses: PauseSummary; readonly outcomes: ReadonlyMap<string, OrderOutcome> }> {
     const { options } = this.ports;
     const revoking = this.#revoke();
     if (this.leader?.isLeaving === true) {
-      // What is under way at a leader that leaves may end well.
+      // Lets requests in flight at a leaving leader complete.
       await revoking;
-      await delay(HANDOVER_REST_MS);
+      await delay(HANDOVER_DRAIN_MS);
     }
     const pauses = await this.#pause(others, []);
     const pausedAtMs = options.now();
     const first = await revoking;
-    this.#letGoAtMs = options.now();
-    const outcomes = new Map([...first, ...(await this.#revokeStarted(first))]);
-    this.#isOneSilent = hasSilent(outcomes);
-    if (this.#isOneSilent || this.#isLate(pausedAtMs)) await this.#waitRevoked(pausedAtMs + EVIDENCE_MS);
+    this.#revokedAtMs = options.now();
+    const outcomes = new Map([...first, ...(await this.#revokeStartedSince(first))]);
+    this.#hasUnansweredDaemon = hasUnanswered(outcomes);
+    if (this.#hasUnansweredDaemon || this.#mayNewDaemonCountEvidence(pausedAtMs))
+      await this.#waitWhileRevoked(pausedAtMs + EVIDENCE_MS);
     return { pauses, outcomes };
   }
 
-  /** Has this daemon and all others let go of the leader. */
+  /** Revokes the evidence of the leader at this daemon and all others. */
   #revoke(): Promise<ReadonlyMap<string, OrderOutcome>> {
     const { options, group } = this.ports;
     group.evidence.revoke(this.#term, options.now());
-    return options.order(this.#order('revoke'), ORDER_MS);
+    return options.order(this.#order('revoke'), ORDER_TIMEOUT_MS);
   }
 
-  #order(kind: LetGoOrder['kind']): LetGoOrder {
+  #order(kind: RevocationOrder['kind']): RevocationOrder {
     return { kind, groupName: this.ports.group.name, term: this.#term };
   }
 
-  /** @param pausedBefore - may cover what members that have ended had */
-  async #pause(members: readonly Member[], pausedBefore: readonly Paused[]): Promise<Pauses> {
-    for (const member of members) this.#asked.add(member);
-    const pauses = await this.ports.pauses.pauseAll(members, this.#term, pausedBefore);
-    for (const { member } of pauses.paused) this.#paused.add(member);
+  /**
+   * @param alsoPaused - already paused replicas, which may hold everything that ended members had received
+   */
+  async #pause(members: readonly Member[], alsoPaused: readonly PausedReplica[]): Promise<PauseSummary> {
+    for (const member of members) this.#pauseRequested.add(member);
+    const pauses = await this.ports.pauses.pauseAll(members, this.#term, alsoPaused);
+    for (const { member } of pauses.paused) this.#everPaused.add(member);
     return pauses;
   }
 
   /**
-   * Asks those daemons again whose process did not run before the pauses: one that has started since may have asked a
-   * replica that was not paused yet. What it asks from now on is no evidence.
+   * Repeats the revoke order to daemons whose process was not running before the pauses: one that has started
+   * since may have obtained evidence from a replica that was not paused yet. Status answers that it gets from
+   * now on do not count as evidence.
    */
-  async #revokeStarted(
+  async #revokeStartedSince(
     outcomes: ReadonlyMap<string, OrderOutcome>,
   ): Promise<ReadonlyMap<string, OrderOutcome>> {
     const gone = [...outcomes].filter(([, { kind }]) => kind === 'gone').map(([name]) => name);
     if (gone.length === 0) return new Map();
-    return this.ports.options.order(this.#order('revoke'), ORDER_MS, { only: new Set(gone) });
+    return this.ports.options.order(this.#order('revoke'), ORDER_TIMEOUT_MS, { only: new Set(gone) });
   }
 
-  /** Waits; an order to let go lasts for a while only, so it is given again. */
-  async #waitRevoked(untilMs: number): Promise<void> {
+  /** Waits, and repeats the revoke order, which is valid for a limited time only. */
+  async #waitWhileRevoked(untilMs: number): Promise<void> {
     const { now } = this.ports.options;
     for (;;) {
       const leftMs = untilMs - now();
       if (leftMs <= 0) return;
-      await delay(Math.min(leftMs, REVOKE_AGAIN_MS));
+      await delay(Math.min(leftMs, REVOCATION_RENEWAL_MS));
       if (now() < untilMs) void this.#revoke();
     }
   }
 
   /**
-   * What the daemons have acknowledged, for good: they acknowledge nothing of the term after they have said it, and those that do not say
-   * it have no evidence left when this returns. A write that was under way when they let go may have been acknowledged since.
+   * Seals the term at all daemons and returns what they have acknowledged. A daemon acknowledges nothing of
+   * the term after its reply; the evidence of one that does not reply has expired when this resolves. The
+   * replies to the revoke order are not final: a write in flight at that time may have been acknowledged
+   * since.
    */
-  async #takeLastWords(outcomes: ReadonlyMap<string, OrderOutcome>): Promise<readonly Acknowledged[]> {
+  async #sealDaemons(outcomes: ReadonlyMap<string, OrderOutcome>): Promise<readonly Acknowledged[]> {
     const { options, group } = this.ports;
     group.evidence.seal(this.#term, options.now());
     const sealedAtMs = options.now();
-    const silent = new Set([...outcomes].filter(([, { kind }]) => kind === 'silent').map(([name]) => name));
-    // Also those that have registered since: their evidence counts from some time after that, and a promotion may take longer.
-    const words = await options.order(this.#order('seal'), ORDER_MS, { except: silent });
-    const heardAtMs = options.now();
-    const areAllHeard = [...words].every(([name, { kind }]) => silent.has(name) || kind !== 'silent');
-    if (!areAllHeard) this.#isOneSilent = true;
-    if (!areAllHeard) await this.#waitRevoked(this.#letGoAtMs + EVIDENCE_MS);
-    const told = [...outcomes].map(([name, outcome]) => {
-      const word = words.get(name);
-      return word?.kind === 'answered' ? word : asUnheardSince(outcome);
+    const unanswered = new Set(
+      [...outcomes].filter(([, { kind }]) => kind === 'silent').map(([name]) => name),
+    );
+    // Includes daemons that have registered since: their evidence counts some time after registration, which
+    // may be during the promotion.
+    const replies = await options.order(this.#order('seal'), ORDER_TIMEOUT_MS, { except: unanswered });
+    const answeredAtMs = options.now();
+    const haveAllAnswered = [...replies].every(
+      ([name, { kind }]) => unanswered.has(name) || kind !== 'silent',
+    );
+    if (!haveAllAnswered) this.#hasUnansweredDaemon = true;
+    if (!haveAllAnswered) await this.#waitWhileRevoked(this.#revokedAtMs + EVIDENCE_MS);
+    const reported = [...outcomes].map(([name, outcome]) => {
+      const reply = replies.get(name);
+      return reply?.kind === 'answered' ? reply : withoutLimit(outcome);
     });
-    const registeredSince = [...words].filter(([name]) => !outcomes.has(name)).map(([, outcome]) => outcome);
-    this.#learnLastLed([...outcomes.values(), ...words.values()]);
-    this.#learnOpenCalls([...outcomes.values(), ...words.values()], heardAtMs);
-    const ownLedSince = (ms: number): Position | null => group.positions.floorSince(ms)?.position ?? null;
-    const ledSince = ledSinceOf(ownLedSince, words.values(), sealedAtMs);
-    return [...told, ...registeredSince].map((word) => acknowledgedBy(word, heardAtMs, ledSince));
+    const registeredSince = [...replies]
+      .filter(([name]) => !outcomes.has(name))
+      .map(([, outcome]) => outcome);
+    this.#determineLastLeader([...outcomes.values(), ...replies.values()]);
+    this.#collectOpenCalls([...outcomes.values(), ...replies.values()], answeredAtMs);
+    const ownPositionSince = (ms: number): Position | null =>
+      group.positions.floorSince(ms)?.position ?? null;
+    const leaderPositionSince = mergeLeaderPositions(ownPositionSince, replies.values(), sealedAtMs);
+    return [...reported, ...registeredSince].map((reply) =>
+      acknowledgedBy(reply, answeredAtMs, leaderPositionSince),
+    );
   }
 
-  /** Others may know who led, where this daemon has just started. */
-  #learnLastLed(outcomes: readonly OrderOutcome[]): void {
+  /** Uses the answers of other daemons, since this one may have just started and not know who led. */
+  #determineLastLeader(outcomes: readonly OrderOutcome[]): void {
     const { lastLed, lastTerm } = this.ports;
-    const heard = outcomes.map((outcome) => (outcome.kind === 'answered' ? outcome.answer.lastLed : null));
-    this.#ledBy = lifeThatLed(lastTerm, [lastLed, ...heard]);
+    const reported = outcomes.map((outcome) => (outcome.kind === 'answered' ? outcome.answer.lastLed : null));
+    this.#lastLeader = findLeaderOfTerm(lastTerm, [lastLed, ...reported]);
   }
 
-  /** Others, and this daemon, may have been told of a call of an earlier holder that can still act. */
-  #learnOpenCalls(outcomes: readonly OrderOutcome[], heardAtMs: number): void {
+  /**
+   * Records calls of an earlier duty holder that this or another daemon knows of and that the platform may
+   * still execute.
+   */
+  #collectOpenCalls(outcomes: readonly OrderOutcome[], answeredAtMs: number): void {
     const { group, openCalls } = this.ports;
-    const told = outcomes.map((outcome) => (outcome.kind === 'answered' ? outcome.answer.openCall : null));
+    const reported = outcomes.map((outcome) =>
+      outcome.kind === 'answered' ? outcome.answer.openCall : null,
+    );
     const fence = this.ports.fence(0);
-    for (const call of [group.calls.open(heardAtMs), ...told])
-      if (call != null && call.fence !== fence) openCalls.recordEarlier(call, heardAtMs);
+    for (const call of [group.calls.open(answeredAtMs), ...reported])
+      if (call != null && call.fence !== fence) openCalls.recordEarlier(call, answeredAtMs);
   }
 
-  /** While the platform may act on an earlier call, whoever is named instead may be replaced by a member without its commits. */
+  /**
+   * Waits until the platform cannot execute an earlier call any more. A leader promoted before that could be
+   * replaced by the member of the earlier call, which may lack the new leader's commits.
+   */
   async #awaitOpenCalls(): Promise<void> {
     const { now } = this.ports.options;
     let sealedAtMs = now();
     for (;;) {
       const leftMs = this.ports.openCalls.untilMs - now();
-      if (leftMs <= 0 || (await this.#isAwaitedLeading())) return;
-      await delay(Math.min(leftMs, AWAITED_LOOK_MS));
-      if (now() - sealedAtMs < REVOKE_AGAIN_MS) continue;
+      if (leftMs <= 0 || (await this.#isEarlierSuccessorLeading())) return;
+      await delay(Math.min(leftMs, EARLIER_CALL_POLL_MS));
+      if (now() - sealedAtMs < REVOCATION_RENEWAL_MS) continue;
       sealedAtMs = now();
-      this.#sealAgain();
+      this.#renewSeal();
     }
   }
 
-  /** The member that an earlier holder has named leads by now: there is nobody to be replaced. */
-  async #isAwaitedLeading(): Promise<boolean> {
+  /**
+   * True when the member named in a call of an earlier duty holder leads by now: there is no leader to
+   * replace then.
+   */
+  async #isEarlierSuccessorLeading(): Promise<boolean> {
     const { group, openCalls, options, pauses } = this.ports;
-    const awaited = openCalls.awaitedId === null ? undefined : group.members.get(openCalls.awaitedId);
-    if (awaited === undefined) return false;
-    const answer = await options.control.ask(awaited, { kind: 'status' }, STATUS_MS);
+    const successor =
+      openCalls.earlierSuccessorId === null ? undefined : group.members.get(openCalls.earlierSuccessorId);
+    if (successor === undefined) return false;
+    const answer = await options.control.ask(successor, { kind: 'status' }, STATUS_TIMEOUT_MS);
     const isLeading =
       answer.kind === 'answered' && answer.status.isPrimary && answer.status.term > this.#term;
     if (isLeading) pauses.noteTerm(answer.status.term);
     return isLeading;
   }
 
-  /** Looks at all replicas that are known by now; those that were not known before are paused first. */
-  async #lastLook(pauses: Pauses): Promise<LastLook> {
-    const unknown = this.ports.others().filter((member) => !this.#asked.has(member));
+  /** Asks all replicas known by now for their status; those that were not known before are paused first. */
+  async #finalCheck(pauses: PauseSummary): Promise<FinalCheck> {
+    const unknown = this.ports.others().filter((member) => !this.#pauseRequested.has(member));
     const late = await this.#pause(unknown, pauses.paused);
     if (late.paused.length > 0) await this.#waitForLatePause();
-    const looked = await this.ports.pauses.lookAt(
+    const rechecked = await this.ports.pauses.recheck(
       [...pauses.paused, ...late.paused],
       this.#term + 1,
-      this.#ledBy?.memberId ?? null,
+      this.#lastLeader?.memberId ?? null,
     );
-    const ended = [...pauses.ended, ...late.ended, ...looked.ended];
-    const heard = new Set(looked.standing.map(({ member }) => member.entry.memberId));
-    const counted = this.#mayLastLeaderComeBack(heard)
+    const ended = [...pauses.ended, ...late.ended, ...rechecked.ended];
+    const respondingIds = new Set(rechecked.stillPaused.map(({ member }) => member.entry.memberId));
+    const relevantEnded = this.#mayLastLeaderReturn(respondingIds)
       ? ended
-      : ended.filter(({ memberId }) => !heard.has(memberId));
-    const replaced = counted.map((life) => ({ ...life, reason: 'replaced', silentMs: null }));
-    const silent = [...pauses.missing, ...late.missing, ...looked.missing];
-    const doubted = this.#isLogOfTerm(looked.standing)
-      ? silent.filter((life) => !this.#followsLeader(life))
-      : silent;
+      : ended.filter(({ memberId }) => !respondingIds.has(memberId));
+    const replaced = relevantEnded.map((incarnation) => ({
+      ...incarnation,
+      reason: 'replaced',
+      silentMs: null,
+    }));
+    const unanswered = [...pauses.missing, ...late.missing, ...rechecked.missing];
+    const relevantUnanswered = this.#hasTermStart(rechecked.stillPaused)
+      ? unanswered.filter((incarnation) => !this.#isLaterIncarnationOfLeader(incarnation))
+      : unanswered;
     return {
-      paused: looked.standing,
-      missing: [...doubted, ...replaced],
-      stands: looked.lost.length === 0,
+      paused: rechecked.stillPaused,
+      missing: [...relevantUnanswered, ...replaced],
+      allPausesHold: rechecked.unpaused.length === 0,
     };
   }
 
   /**
-   * True while the log of whoever led last may be there and is not among those that are looked at. What a life that has ended had
-   * received is with its next life, which is asked, with the leader, or nowhere: once the leader's log is there, too, or will not come
-   * back, nothing is to be waited for. Guards against a group that is led by nobody for 30 s after the last of its members has
-   * started again.
+   * True while the log of the last leader may still exist and is not among the checked ones. What an ended
+   * incarnation had received is held by its next incarnation, which is asked, or by the leader, or by nobody.
+   * So once the leader's log has been checked too, or will not come back, there is nothing to wait for.
+   * Without this, a group would stay without a leader for 30 s after the last of its members has restarted.
    */
-  #mayLastLeaderComeBack(heard: ReadonlySet<string>): boolean {
+  #mayLastLeaderReturn(respondingIds: ReadonlySet<string>): boolean {
     const { group, options, leaderLoss } = this.ports;
-    const led = this.#ledBy;
+    const led = this.#lastLeader;
     if (led === null) return true;
-    if (heard.has(led.memberId)) return false;
-    // A daemon that never knew the life has not seen its entry go either.
+    if (respondingIds.has(led.memberId)) return false;
+    // A daemon that never knew this incarnation cannot have seen its entry removed.
     const wasKnown = group.ledBy(this.ports.lastTerm)?.entry.memberId === led.memberId;
     const isForgotten = wasKnown && !group.members.has(led.memberId) && group.formerOf(led.memberId) === null;
     return !isForgotten && !leaderLoss.isOver(led, options.now());
   }
 
   /**
-   * True for a later life of the leader that was lost. What was acknowledged in the term was received by another member than the leader, so
-   * with all of those heard, also the lives of them that have ended, nothing is to be waited for from whoever goes by the leader's id now.
+   * True for a later incarnation of the lost leader. Every commit acknowledged in the term was received by a
+   * member other than the leader. So once all of those are accounted for, including their ended incarnations,
+   * there is no need to wait for the member that now has the leader's id.
    */
-  #followsLeader({ memberId, bornMs }: Incarnation): boolean {
-    const led = this.#ledBy;
+  #isLaterIncarnationOfLeader({ memberId, bornMs }: Incarnation): boolean {
+    const led = this.#lastLeader;
     if (led?.memberId !== memberId || led.bornMs === null || bornMs === null) return false;
     return bornMs > led.bornMs;
   }
 
   /**
-   * True when a replica has what the leader began the term with: what was acknowledged in earlier terms may have been received by the member
-   * alone that led this one.
+   * True when a replica holds the log with which the leader began the term. Commits acknowledged in earlier
+   * terms may have been received by nobody but the member that led this one.
    */
-  #isLogOfTerm(paused: readonly Paused[]): boolean {
+  #hasTermStart(paused: readonly PausedReplica[]): boolean {
     const { group, lastTerm } = this.ports;
     const opened = group.openedWith(lastTerm);
     return paused.some(
@@ -367,70 +423,80 @@
     );
   }
 
-  /** A replica that was paused late may have given evidence to a daemon that is silent, or has registered since the beginning. */
+  /**
+   * A replica that was paused late may have given evidence to a daemon that did not answer or that has
+   * registered since the promotion began.
+   */
   async #waitForLatePause(): Promise<void> {
     const pausedAtMs = this.ports.options.now();
-    if (this.#isOneSilent || this.#isLate(pausedAtMs)) await this.#waitRevoked(pausedAtMs + EVIDENCE_MS);
+    if (this.#hasUnansweredDaemon || this.#mayNewDaemonCountEvidence(pausedAtMs))
+      await this.#waitWhileRevoked(pausedAtMs + EVIDENCE_MS);
   }
 
-  /** True when a daemon that has registered since the beginning may count evidence at that time. */
-  #isLate(atMs: number): boolean {
-    return atMs - this.#startedAtMs > REGISTRATION_SETTLE_MS - REGISTER_MARGIN_MS;
+  /** True when a daemon that has registered since the promotion began may count evidence at that time. */
+  #mayNewDaemonCountEvidence(atMs: number): boolean {
+    return atMs - this.#startedAtMs > REGISTRATION_SETTLE_MS - REGISTRATION_MARGIN_MS;
   }
 
-  /** A later term is followed by somebody: whoever leads it may not be among those that were asked, and daemons confirm what it answers. */
+  /**
+   * True when a member follows a later term: its leader may not be among the members that were asked, and
+   * daemons acknowledge commits of that leader.
+   */
   #isSuperseded(): boolean {
     const { group, pauses } = this.ports;
     group.evidence.noteTerm(pauses.latestTerm);
     return group.evidence.minimumTerm > this.#term;
   }
 
-  /** The life that led the term is paused as well: all that was acknowledged in the term is in its log. */
-  #noteOwnLife({ paused }: LastLook): void {
+  /**
+   * Records the position of the last leader if it is among the paused members: its log holds all that was
+   * acknowledged in the term.
+   */
+  #recordLastLeaderPosition({ paused }: FinalCheck): void {
     if (this.ports.lastTerm !== this.#term) return;
     const known = this.ports.group.ledBy(this.#term);
-    const own = paused.find(({ member }) => member === known || this.#isLastLed(member));
-    if (own !== undefined) this.ports.stepDowns.record(this.#term, own.status);
+    const lastLeader = paused.find(({ member }) => member === known || this.#isLastLeader(member));
+    if (lastLeader !== undefined) this.ports.stepDowns.record(this.#term, lastLeader.status);
   }
 
-  /** True for the life that led, where lives are told from each other. */
-  #isLastLed({ entry }: Member): boolean {
-    const led = this.#ledBy;
+  /** True for the incarnation that led, if incarnations can be told apart. */
+  #isLastLeader({ entry }: Member): boolean {
+    const led = this.#lastLeader;
     return led !== null && led.bornMs !== null && formatIncarnation(led) === formatIncarnation(entry);
   }
 
-  #choose(look: LastLook, acknowledged: Acknowledged, silentDaemons: string): Paused | null {
+  #choose(check: FinalCheck, acknowledged: Acknowledged, unansweredDaemons: string): PausedReplica | null {
     const { options, group } = this.ports;
-    const candidates = look.paused.map(toCandidate);
-    const question = { candidates, missing: look.missing.length, acknowledged };
+    const candidates = check.paused.map(toCandidate);
+    const input = { candidates, missing: check.missing.length, acknowledged };
     options.log('promotion_candidates', {
       group: group.name,
-      received: look.paused
+      received: check.paused
         .map(({ member, status }) => `${formatIncarnation(member.entry)}:${formatPosition(status.received)}`)
         .join(','),
-      missed: look.missing.map(formatIncarnation).join(','),
-      why: describeMissing(look.missing),
-      led: this.#ledBy === null ? null : formatIncarnation(this.#ledBy),
+      missed: check.missing.map(formatIncarnation).join(','),
+      why: describeMissing(check.missing),
+      led: this.#lastLeader === null ? null : formatIncarnation(this.#lastLeader),
       former: [...group.former.keys()].join(','),
-      missing: look.missing.length,
+      missing: check.missing.length,
       acknowledged: formatPosition(acknowledged.latest),
       limit: acknowledged.limit === null ? null : formatPosition(acknowledged.limit),
-      unheard: silentDaemons,
+      unheard: unansweredDaemons,
     });
-    const chosen = look.stands ? chooseSuccessor(question) : null;
-    return chosen === null ? null : (look.paused[candidates.indexOf(chosen)] ?? null);
+    const chosen = check.allPausesHold ? chooseSuccessor(input) : null;
+    return chosen === null ? null : (check.paused[candidates.indexOf(chosen)] ?? null);
   }
 
-  /** Asks the platform for the promotion and waits until the member leads. */
-  async #appoint(successor: Paused): Promise<AppointmentOutcome> {
+  /** Asks the platform to promote the successor and waits until it leads. */
+  async #appoint(successor: PausedReplica): Promise<AppointmentOutcome> {
     const { options, group } = this.ports;
     const { member } = successor;
     const { memberId } = member.entry;
     const call = (timeoutMs: number): Promise<boolean> | null => {
       const fence = this.#isSuperseded() ? null : this.ports.fence(DUTY_RESERVE_MS);
       if (fence === null) return null;
-      this.#call = { memberId, fence, untilMs: options.now() + LATE_CALL_MS };
-      this.#sealAgain();
+      this.#lastCall = { memberId, fence, untilMs: options.now() + CALL_EFFECT_WINDOW_MS };
+      this.#renewSeal();
       options.log('promotion_call', {
         group: group.name,
         member: memberId,
@@ -441,10 +507,11 @@
     };
     const ports = {
       call,
-      // The platform acts on whoever goes by the id: the next life of a member that has started again is made to lead.
-      status: () => options.control.ask(group.members.get(memberId) ?? member, { kind: 'status' }, STATUS_MS),
-      letGo: () => this.#sealAgain(),
-      keepPaused: () => this.#keepPaused(member),
+      // The platform addresses members by id: if the member has restarted, its next incarnation is promoted.
+      status: () =>
+        options.control.ask(group.members.get(memberId) ?? member, { kind: 'status' }, STATUS_TIMEOUT_MS),
+      renewRevocation: () => this.#renewSeal(),
+      enforcePauses: () => this.#enforcePauses(member),
       now: options.now,
     };
     const outcome = await appoint(ports, { oldTerm: this.#term, received: successor.status.received });
@@ -460,17 +527,17 @@
   }
 
   /**
-   * The member that leads holds less than it had: it started again after the last look at it. It is not announced while another
-   * replica, which is paused still, holds more.
+   * Handles a new leader that holds less than it did at the final check, because it has restarted since. It
+   * is replaced rather than announced if another replica, still paused, holds more.
    */
-  #replaceShort(
-    successor: Paused,
+  #handleIncompleteLeader(
+    successor: PausedReplica,
     status: MemberStatus,
-    look: LastLook,
+    check: FinalCheck,
   ): Promise<PromotionOutcome> | PromotionOutcome {
     const { options, group } = this.ports;
     const { memberId } = successor.member.entry;
-    const others = look.paused.filter(({ member }) => member !== successor.member);
+    const others = check.paused.filter(({ member }) => member !== successor.member);
     const isReplaced =
       this.ports.fence(0) !== null &&
       others.some((other) => !hasReached(status.received, other.status.received));
@@ -488,51 +555,57 @@
       return {
         kind: 'again',
         leader: successor.member,
-        reason: 'leads without what it had received',
+        reason: 'the new leader lacks log entries that it had received',
       };
     }
     this.#announce(successor.member, status);
     return this.#end(successor);
   }
 
-  /** Pauses replicas that have appeared or lost their pause while the platform acts: what they receive nobody counts. */
-  #keepPaused(named: Member): void {
+  /**
+   * Pauses replicas that have appeared or restarted unpaused while the platform promotes: what they receive
+   * now is not part of the final check.
+   */
+  #enforcePauses(successor: Member): void {
     const { options } = this.ports;
-    if (options.now() - this.#keptAtMs < KEEP_PAUSED_MS) return;
-    this.#keptAtMs = options.now();
-    const others = this.ports.others().filter((member) => member !== named && !member.hasEnded);
-    for (const member of others) if (!this.#lookedAt.has(member)) void this.#keepOnePaused(member);
+    if (options.now() - this.#pausesCheckedAtMs < PAUSE_CHECK_INTERVAL_MS) return;
+    this.#pausesCheckedAtMs = options.now();
+    const others = this.ports.others().filter((member) => member !== successor && !member.hasEnded);
+    for (const member of others) if (!this.#pauseChecks.has(member)) void this.#enforcePause(member);
   }
 
-  async #keepOnePaused(member: Member): Promise<void> {
-    this.#lookedAt.add(member);
-    await this.#pauseAgain(member);
+  async #enforcePause(member: Member): Promise<void> {
+    this.#pauseChecks.add(member);
+    await this.#ensurePaused(member);
     if (this.#isOver) await this.#resume([member]);
-    this.#lookedAt.delete(member);
+    this.#pauseChecks.delete(member);
   }
 
-  async #pauseAgain(member: Member): Promise<void> {
+  async #ensurePaused(member: Member): Promise<void> {
     const { options, group } = this.ports;
-    const answer = await options.control.ask(member, { kind: 'status' }, STATUS_MS);
+    const answer = await options.control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS);
     const { term } = this.#order('seal');
     if (answer.kind !== 'answered' || answer.status.term > term) return;
     if (answer.status.isPrimary || answer.status.pausedForTerm > term || this.#isOver) return;
     options.log('replica_paused_again', { group: group.name, member: formatIncarnation(member.entry) });
-    this.#paused.add(member);
-    await options.control.ask(member, { kind: 'pause', term: term + 1 }, STATUS_MS);
+    this.#everPaused.add(member);
+    await options.control.ask(member, { kind: 'pause', term: term + 1 }, STATUS_TIMEOUT_MS);
   }
 
-  /** An order lasts for a while only; daemons that have started since are given it, too. */
-  #sealAgain(): void {
+  /**
+   * Repeats the seal order, which is valid for a limited time only; daemons that have started since receive
+   * it too.
+   */
+  #renewSeal(): void {
     const { options, group } = this.ports;
     group.evidence.seal(this.#term, options.now());
-    void options.order({ ...this.#order('seal'), ...this.#openCall() }, ORDER_MS);
+    void options.order({ ...this.#order('seal'), ...this.#openCall() }, ORDER_TIMEOUT_MS);
   }
 
-  /** The call that may act, for the daemons to tell a next holder of. */
+  /** The last call, which the platform may still execute: the daemons report it to the next duty holder. */
   #openCall(): { readonly call?: OpenCall } {
-    if (this.#call === null) return {};
-    const { untilMs, ...call } = this.#call;
+    if (this.#lastCall === null) return {};
+    const { untilMs, ...call } = this.#lastCall;
     return { call: { ...call, leftMs: Math.max(0, untilMs - this.ports.options.now()) } };
   }
 
@@ -541,11 +614,11 @@
     group.learnLeader({ memberId, term }, received);
     options.confirmLeader();
     const furtherCall = openCalls.untilMs > options.now() ? this.#openCall() : {};
-    const news = { kind: 'leader', groupName: group.name, memberId, term, held: received } as const;
-    void options.order({ ...news, ...furtherCall }, ORDER_MS);
+    const announcement = { kind: 'leader', groupName: group.name, memberId, term, held: received } as const;
+    void options.order({ ...announcement, ...furtherCall }, ORDER_TIMEOUT_MS);
   }
 
-  async #end(successor: Paused): Promise<PromotionOutcome> {
+  async #end(successor: PausedReplica): Promise<PromotionOutcome> {
     const { options, group } = this.ports;
     const leader = successor.member;
     this.#isOver = true;
@@ -554,43 +627,46 @@
       leader: leader.entry.memberId,
       ms: Math.round(options.now() - this.#startedAtMs),
     });
-    await this.#resume([...this.#paused].filter((member) => member !== leader));
-    if (!this.#isAlive) await this.#demoteLeader();
+    await this.#resume([...this.#everPaused].filter((member) => member !== leader));
+    if (!this.#isLeaderResponsive) await this.#demoteLeader();
     return { kind: 'led', leader };
   }
 
-  async #giveUp(look: LastLook, successor: Paused | null = null): Promise<PromotionOutcome> {
+  async #giveUp(check: FinalCheck, successor: PausedReplica | null = null): Promise<PromotionOutcome> {
     const { options, group } = this.ports;
     this.#isOver = true;
     options.log('promotion_given_up', {
       group: group.name,
-      reason: this.#isSuperseded() ? 'a later term is followed' : givenUpReason(look, successor),
-      paused: look.paused.length,
-      missing: look.missing.length,
+      reason: this.#isSuperseded() ? 'a member follows a later term' : givenUpReason(check, successor),
+      paused: check.paused.length,
+      missing: check.missing.length,
     });
-    await this.#undo();
+    await this.#rollBack();
     return { kind: 'given_up' };
   }
 
-  /** Lets replicas and daemons go on. Without the duty that is left to the next holder, whose pauses these may be. */
-  async #undo(): Promise<void> {
+  /**
+   * Resumes the replicas and lifts the revocation. Does nothing if the duty is no longer held: the pauses may
+   * be those of the next duty holder.
+   */
+  async #rollBack(): Promise<void> {
     const { options, group } = this.ports;
     if (this.ports.fence(0) === null) return;
-    await this.#resume([...this.#paused]);
+    await this.#resume([...this.#everPaused]);
     group.evidence.allowAgain();
-    void options.order({ kind: 'allow', groupName: group.name }, ORDER_MS);
+    void options.order({ kind: 'allow', groupName: group.name }, ORDER_TIMEOUT_MS);
   }
 
   async #resume(members: readonly Member[]): Promise<void> {
     if (this.ports.fence(0) !== null) await this.ports.pauses.resumeAll(members);
   }
 
-  /** Has the former leader follow; the log says what it had received by then. */
+  /** Demotes the former leader and logs the position up to which it had received the log. */
   async #demoteLeader(): Promise<void> {
     const { options, group } = this.ports;
     if (this.leader === null) return;
     const request = { kind: 'demote', term: this.#term + 1 } as const;
-    const answer = await options.control.ask(this.leader, request, STATUS_MS);
+    const answer = await options.control.ask(this.leader, request, STATUS_TIMEOUT_MS);
     if (answer.kind === 'answered' && !answer.status.isPrimary && !this.leader.hasEnded)
       this.ports.stepDowns.record(this.#term, answer.status);
     options.log('leader_demoted', {
@@ -602,18 +678,23 @@
   }
 }
 
-/** What a daemon said that was not asked for its last word, or did not say it: it may have acknowledged more since. */
-function asUnheardSince(outcome: OrderOutcome): OrderOutcome {
+/**
+ * The answer of a daemon that was not sent the seal order, or did not reply to it: it may have acknowledged
+ * more since.
+ */
+function withoutLimit(outcome: OrderOutcome): OrderOutcome {
   if (outcome.kind !== 'answered') return outcome;
   return { kind: 'answered', answer: { latest: outcome.answer.latest, limit: null } };
 }
 
-function givenUpReason({ stands }: LastLook, successor: Paused | null): string {
+function givenUpReason({ allPausesHold: stands }: FinalCheck, successor: PausedReplica | null): string {
   if (!stands) return 'a replica has lost its pause';
-  return successor === null ? 'no member is shown to hold all commits' : 'the platform did not do it';
+  return successor === null
+    ? 'no member is shown to hold all commits'
+    : 'the platform did not promote the successor';
 }
 
-function toCandidate({ member, status }: Paused): SuccessorCandidate {
+function toCandidate({ member, status }: PausedReplica): SuccessorCandidate {
   const { entry, isLeaving, knownSinceMs } = member;
   return { memberId: entry.memberId, received: status.received, isLeaving, knownSinceMs };
 }
--- a/src/leadership/replica-pauses.ts
+++ b/src/leadership/replica-pauses.ts
@@ -1,5 +1,5 @@
 /**
- * Pauses of the replicas of a group: while they stand, nothing more can be acknowledged.
+ * Pauses the replicas of a group: while all pauses hold, no further commit can be acknowledged.
  *
  * @packageDocumentation
  */
@@ -9,49 +9,56 @@
 import type { EndedMembers } from './ended-members.js';
 import type { LostLives } from './lost-lives.js';
 import type { MemberControl } from './member-control.js';
-import { describeAnswer, type MissingLife } from './missing-life.js';
+import { describeAnswer, type MissingIncarnation } from './missing-incarnation.js';
 
-/** Longest wait for a pause, in milliseconds. */
-const PAUSE_MS = 300;
-/** Longest wait for a member's status, or until it has resumed, in milliseconds. */
-const STATUS_MS = 200;
+/** Time limit for a member to confirm a pause, in milliseconds. */
+const PAUSE_TIMEOUT_MS = 300;
+/** Time limit for a member to report its status or to confirm that it has resumed, in milliseconds. */
+const STATUS_TIMEOUT_MS = 200;
 
-/** A paused replica. */
-export interface Paused {
+/** A paused replica, with its status. */
+export interface PausedReplica {
   readonly member: Member;
   readonly status: MemberStatus;
 }
 
-/** How the pauses went. */
-export interface Pauses {
-  readonly paused: readonly Paused[];
-  /** Members that may come back with more than the paused ones hold. */
-  readonly missing: readonly MissingLife[];
-  /** Lives that have ended, and may have received more: the next life of each has what is left of it. */
+/** Result of pausing several members. */
+export interface PauseSummary {
+  readonly paused: readonly PausedReplica[];
+  /** Members that may return with more than the paused ones hold. */
+  readonly missing: readonly MissingIncarnation[];
+  /**
+   * Ended incarnations that may have received more: what remains of that is held by the next incarnation of
+   * the member.
+   */
   readonly ended: readonly Incarnation[];
 }
 
-/** What a second look at paused replicas has found. */
-export interface SecondLook {
-  /** With what they have received by now. */
-  readonly standing: readonly Paused[];
-  readonly lost: readonly Incarnation[];
-  /** Those that did not answer. */
-  readonly missing: readonly MissingLife[];
-  /** Those whose earlier life may have received more. */
+/** Result of checking paused replicas again. */
+export interface PauseRecheck {
+  /** Those still paused, with their present status. */
+  readonly stillPaused: readonly PausedReplica[];
+  /** Those that are not paused any more. */
+  readonly unpaused: readonly Incarnation[];
+  /** Those that did not answer the status request. */
+  readonly missing: readonly MissingIncarnation[];
+  /** Ended incarnations that may have received more. */
   readonly ended: readonly Incarnation[];
 }
 
-/** How the pause of one member went. `gone`: its process has ended, and may come back; `replaced`: its next life is known. */
+/**
+ * Result of pausing one member. `gone`: its process has ended and may return; `replaced`: its next
+ * incarnation is known.
+ */
 type PauseResult =
-  | { readonly kind: 'paused'; readonly paused: Paused }
+  | { readonly kind: 'paused'; readonly paused: PausedReplica }
   | { readonly kind: 'missing'; readonly reason: string }
   | { readonly kind: 'gone' }
   | { readonly kind: 'replaced' };
 
-/** Pauses members, looks whether the pauses stand, and lifts them. */
+/** Pauses members, checks that they are still paused, and resumes them. */
 export class ReplicaPauses {
-  /** Members that were told to step down: the term that they name may be the one of that order. */
+  /** Members that were ordered to step down: the term in their status may be the one of that order. */
   readonly #demoted = new WeakSet<Member>();
   #latestTerm = 0;
 
@@ -63,25 +70,30 @@
     private readonly now: () => number,
   ) {}
 
-  /** The latest term that a member was seen to follow. */
+  /** The latest term that a member was found to follow or lead. */
   get latestTerm(): number {
     return this.#latestTerm;
   }
 
-  /** A member was seen to follow, or lead, a term. */
+  /** Records that a member was found to follow or lead a term. */
   noteTerm(term: number): void {
     this.#latestTerm = Math.max(this.#latestTerm, term);
   }
 
   /**
-   * Pauses members. One that has ended is missing unless another is known to hold what it had.
+   * Pauses members. A member that has ended counts as missing unless a paused one is known to hold all that
+   * it had received.
    *
-   * @param pausedBefore - others that may
+   * @param alsoPaused - further paused replicas that may hold it
    */
-  async pauseAll(members: readonly Member[], term: number, pausedBefore: readonly Paused[]): Promise<Pauses> {
+  async pauseAll(
+    members: readonly Member[],
+    term: number,
+    alsoPaused: readonly PausedReplica[],
+  ): Promise<PauseSummary> {
     const results = await Promise.all(members.map((member) => this.#pause(member, term + 1)));
     const paused = results.flatMap((result) => (result.kind === 'paused' ? [result.paused] : []));
-    const covering = [...pausedBefore, ...paused].map(({ member, status }) => ({
+    const covering = [...alsoPaused, ...paused].map(({ member, status }) => ({
       entry: member.entry,
       received: status.received,
     }));
@@ -91,9 +103,9 @@
     };
     const missing = members.flatMap((member, index) => {
       const result = results[index];
-      return result?.kind === 'missing' ? [this.#missingLife(member, result.reason)] : [];
+      return result?.kind === 'missing' ? [this.#toMissing(member, result.reason)] : [];
     });
-    const gone = uncovered('gone').map((member) => this.#missingLife(member, this.#whyGone(member)));
+    const gone = uncovered('gone').map((member) => this.#toMissing(member, this.#goneReason(member)));
     return {
       paused,
       missing: [...missing, ...gone],
@@ -101,20 +113,23 @@
     };
   }
 
-  /** Pauses one member; one that still leads is demoted. A former member that does not run is gone. */
+  /**
+   * Pauses one member; one that still leads is demoted first. A former member that refuses connections is
+   * `gone`.
+   */
   async #pause(member: Member, term: number): Promise<PauseResult> {
     const { control } = this;
     if (member.hasEnded) return { kind: 'replaced' };
     let reason = '';
     for (let attempt = 0; attempt < 2; attempt += 1) {
-      let answer = await control.ask(member, { kind: 'pause', term }, PAUSE_MS);
+      let answer = await control.ask(member, { kind: 'pause', term }, PAUSE_TIMEOUT_MS);
       if (answer.kind === 'answered' && answer.status.isPrimary) {
         if (answer.status.term < term) this.#demoted.add(member);
-        await control.ask(member, { kind: 'demote', term }, PAUSE_MS);
-        answer = await control.ask(member, { kind: 'pause', term }, PAUSE_MS);
+        await control.ask(member, { kind: 'demote', term }, PAUSE_TIMEOUT_MS);
+        answer = await control.ask(member, { kind: 'pause', term }, PAUSE_TIMEOUT_MS);
       }
       if (answer.kind === 'answered') {
-        const paused = this.#take(member, answer.status, term);
+        const paused = this.#recordStatus(member, answer.status, term);
         return paused === null
           ? { kind: 'missing', reason: describeAnswer(answer) }
           : { kind: 'paused', paused };
@@ -127,66 +142,78 @@
   }
 
   /**
-   * Looks at paused replicas once more. One that has lost its pause, by a restart, may have received commits since, and have given
-   * evidence to a daemon that was not asked to let go; one that does not answer may have, too.
+   * Checks paused replicas again. One that has lost its pause in a restart may have received commits since,
+   * and may have given evidence to a daemon that was not sent the revoke order; so may one that does not
+   * answer.
    *
-   * @param leaderId - who led the term
+   * @param leaderId - the member that led the term
    */
-  async lookAt(paused: readonly Paused[], term: number, leaderId: string | null): Promise<SecondLook> {
+  async recheck(
+    paused: readonly PausedReplica[],
+    term: number,
+    leaderId: string | null,
+  ): Promise<PauseRecheck> {
     const answers = await Promise.all(
-      paused.map(({ member }) => this.control.ask(member, { kind: 'status' }, STATUS_MS)),
+      paused.map(({ member }) => this.control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS)),
     );
-    const standing: Paused[] = [];
-    const lost: Incarnation[] = [];
-    const silent: MissingLife[] = [];
+    const stillPaused: PausedReplica[] = [];
+    const unpaused: Incarnation[] = [];
+    const unanswered: MissingIncarnation[] = [];
     const replaced: Incarnation[] = [];
     paused.forEach(({ member }, index) => {
       const answer = answers[index];
-      // Whoever answers in its place is another life, which is asked for itself.
+      // An answer at its address comes from another incarnation, which is a member of its own.
       if (member.hasEnded) return void replaced.push(member.entry);
       if (answer?.kind !== 'answered') {
         const reason = answer === undefined ? 'not asked' : describeAnswer(answer);
-        return void silent.push(this.#missingLife(member, reason));
+        return void unanswered.push(this.#toMissing(member, reason));
       }
-      const now = this.#take(member, answer.status, term);
-      if (now === null) lost.push(member.entry);
-      else standing.push(now);
+      const current = this.#recordStatus(member, answer.status, term);
+      if (current === null) unpaused.push(member.entry);
+      else stillPaused.push(current);
     });
-    const received = standing.map(({ status }) => status.received);
+    const received = stillPaused.map(({ status }) => status.received);
     const ended = [...replaced, ...this.lost.uncovered(received, leaderId, this.now())];
-    return { standing, lost, missing: silent, ended };
+    return { stillPaused: stillPaused, unpaused: unpaused, missing: unanswered, ended };
   }
 
-  #missingLife({ entry, answeredAtMs }: Member, reason: string): MissingLife {
+  #toMissing({ entry, answeredAtMs }: Member, reason: string): MissingIncarnation {
     const { memberId, bornMs } = entry;
     const silentMs = Number.isFinite(answeredAtMs) ? this.now() - answeredAtMs : null;
     return { memberId, bornMs, reason, silentMs };
   }
 
-  /** Why one that does not run is not covered by those that were paused. */
-  #whyGone(member: Member): string {
-    return this.ended.has(member) ? 'ended, and nobody has come as far' : 'ended, unknown how far';
+  /** Why a member that has ended is not covered by the paused ones. */
+  #goneReason(member: Member): string {
+    return this.ended.has(member)
+      ? 'ended, and no paused replica has reached its limit'
+      : 'ended, and its limit is unknown';
   }
 
-  /** True for a former member, and for one that was found to have ended while the leader could say how far the log had come. */
+  /**
+   * True for a former member, and for one that ended while the leader could still report the position of the
+   * log.
+   */
   #isKnownToEnd(member: Member): boolean {
     return this.ended.has(member) || [...this.group.former.values()].includes(member);
   }
 
-  /** `null` for one that is not paused. */
-  #take(member: Member, status: MemberStatus, term: number): Paused | null {
+  /** Records the status of a member; returns `null` for a member that is not paused. */
+  #recordStatus(member: Member, status: MemberStatus, term: number): PausedReplica | null {
     if (!this.#demoted.has(member)) this.noteTerm(status.term);
     if (!status.isPrimary) this.lost.heard(member, status, this.now());
     return toPaused(member, status, term);
   }
 
-  /** Lets members receive again. */
+  /** Ends the pause of members, so that they receive again. */
   async resumeAll(members: readonly Member[]): Promise<void> {
-    await Promise.all(members.map((member) => this.control.ask(member, { kind: 'resume' }, STATUS_MS)));
+    await Promise.all(
+      members.map((member) => this.control.ask(member, { kind: 'resume' }, STATUS_TIMEOUT_MS)),
+    );
   }
 }
 
-function toPaused(member: Member, status: MemberStatus, term: number): Paused | null {
+function toPaused(member: Member, status: MemberStatus, term: number): PausedReplica | null {
   const isStopped = !status.isPrimary && (status.pausedForTerm >= term || status.term >= term);
   return isStopped ? { member, status } : null;
 }
