--- a/src/leadership/appointment.test.ts
+++ b/src/leadership/appointment.test.ts
@@ -1,5 +1,5 @@
 /**
- * How often the platform and the member that is to lead are asked, and for how long.
+ * How often, and for how long, an appointment calls the platform and asks the successor for its status.
  *
  * @packageDocumentation
  */
@@ -10,22 +10,22 @@
 import type { ControlAnswer } from './member-control.js';
 
 const OLD_TERM = 3;
-const STEP_MS = 5;
+const TICK_MS = 5;
 
-/** What the platform and the member do, and what they were asked; times in milliseconds. */
-interface World {
+/** Behaviour of the platform and the member; times in milliseconds since the start. */
+interface Scenario {
   readonly platform: (call: number) => Promise<boolean>;
-  /** When the member leads. */
+  /** When the member starts to lead. */
   readonly leadsAtMs: number;
-  /** What the member has received when it is asked. */
+  /** Position that the member reports. */
   readonly received: Position;
-  /** When the member ends. */
+  /** When the member's process ends. */
   readonly endsAtMs: number;
   /** Until when the duty is held. */
   readonly heldUntilMs: number;
 }
 
-const USUAL: World = {
+const DEFAULT_SCENARIO: Scenario = {
   platform: () => Promise.resolve(true),
   leadsAtMs: 300,
   received: { term: OLD_TERM, index: 1 },
@@ -36,7 +36,7 @@
 beforeEach(() => mock.timers.enable({ apis: ['setTimeout'] }));
 afterEach(() => mock.timers.reset());
 
-async function play(changes: Partial<World>): Promise<{
+async function runAppointment(changes: Partial<Scenario>): Promise<{
   readonly leads: boolean;
   readonly kind: AppointmentOutcome['kind'];
   readonly ms: number;
@@ -45,16 +45,16 @@
   readonly orders: number;
   readonly orderedAtMs: readonly number[];
 }> {
-  const world = { ...USUAL, ...changes };
+  const scenario = { ...DEFAULT_SCENARIO, ...changes };
   let now = 0;
   let calls = 0;
   let questions = 0;
   const orderedAtMs: number[] = [];
   const status = (): Promise<ControlAnswer> => {
     questions += 1;
-    if (now >= world.endsAtMs) return Promise.resolve({ kind: 'refused' });
-    const isPrimary = now >= world.leadsAtMs;
-    const { received } = world;
+    if (now >= scenario.endsAtMs) return Promise.resolve({ kind: 'refused' });
+    const isPrimary = now >= scenario.leadsAtMs;
+    const { received } = scenario;
     const term = isPrimary ? OLD_TERM + 1 : OLD_TERM;
     return Promise.resolve({
       kind: 'answered',
@@ -63,9 +63,9 @@
     });
   };
   const call = (): Promise<boolean> | null => {
-    if (now >= world.heldUntilMs) return null;
+    if (now >= scenario.heldUntilMs) return null;
     calls += 1;
-    return world.platform(calls);
+    return scenario.platform(calls);
   };
   let outcome: { readonly leads: boolean } | null = null;
   const ports = {
@@ -79,8 +79,8 @@
   void running.then(({ kind }) => (outcome = { leads: kind === 'leads' }));
   while (outcome === null && now < 20_000) {
     await new Promise((resolve) => setImmediate(resolve));
-    now += STEP_MS;
-    mock.timers.tick(STEP_MS);
+    now += TICK_MS;
+    mock.timers.tick(TICK_MS);
   }
   const { kind } = await running;
   const orders = orderedAtMs.length;
@@ -88,71 +88,76 @@
 }
 
 /**
- * A member that was about to lead was asked for its status as fast as it answered, each question taking one of its slots:
- * the pause between two was raced against the platform's answer, which had come.
+ * Guards against status requests without an interval, each of which takes a slot of the member. The delay
+ * between two was raced against the answer of the platform, which had already arrived.
  */
-test('a member is asked at intervals while it is made to lead', async () => {
-  const { leads, ms, questions } = await play({ leadsAtMs: 400 });
+test('a member is asked for its status at intervals while the platform promotes it', async () => {
+  const { leads, ms, questions } = await runAppointment({ leadsAtMs: 400 });
   assert.ok(leads && ms < 450, `${ms} ms`);
   assert.ok(questions < 35, `${questions} questions`);
 });
 
-test('a refusal ends it at once', async () => {
-  const { leads, ms, calls } = await play({ platform: () => Promise.resolve(false) });
+test('a refusal by the platform ends the appointment at once', async () => {
+  const { leads, ms, calls } = await runAppointment({ platform: () => Promise.resolve(false) });
   assert.deepEqual([leads, calls], [false, 1]);
   assert.ok(ms < 50, `${ms} ms`);
 });
 
-test('the same member is named again, and found to lead late', async () => {
-  const { leads, calls, orders } = await play({ leadsAtMs: 4000 });
+test('the call is repeated for the same member, which is found to lead late', async () => {
+  const { leads, calls, orders } = await runAppointment({ leadsAtMs: 4000 });
   assert.deepEqual([leads, calls], [true, 2]);
-  assert.ok(orders >= 4, `daemons were asked to let go ${orders} times`);
+  assert.ok(orders >= 4, `the revocation was renewed ${orders} times`);
 });
 
-test('a refusal says nothing of the call before it', async () => {
+test('a refusal does not cancel the call before it', async () => {
   const platform = (call: number): Promise<boolean> =>
     call === 1 ? Promise.reject(new Error('no answer')) : Promise.resolve(false);
-  assert.ok((await play({ platform, leadsAtMs: 4000 })).leads);
+  assert.ok((await runAppointment({ platform, leadsAtMs: 4000 })).leads);
 });
 
-test('no call is made without the duty, but the last one is waited for', async () => {
-  const { leads, calls } = await play({ heldUntilMs: 1000, leadsAtMs: 4000 });
+test('no call is made without the promotion duty, but the effect of the last one is waited for', async () => {
+  const { leads, calls } = await runAppointment({ heldUntilMs: 1000, leadsAtMs: 4000 });
   assert.deepEqual([leads, calls], [true, 1]);
-  assert.deepEqual((await play({ heldUntilMs: 0 })).leads, false);
+  assert.deepEqual((await runAppointment({ heldUntilMs: 0 })).leads, false);
 });
 
-test('it ends 6.5 s after the first call, whatever the platform does', async () => {
-  const { leads, ms } = await play({ leadsAtMs: Number.POSITIVE_INFINITY });
+test('the appointment ends 6.5 s after the first call if the platform does nothing', async () => {
+  const { leads, ms } = await runAppointment({ leadsAtMs: Number.POSITIVE_INFINITY });
   assert.ok(!leads && ms >= 6500 && ms < 7000, `${ms} ms`);
 });
 
-test('a platform that gives no answer is asked again each half a second, for 4.5 s', async () => {
+test('calls that the platform does not answer are retried every 0.5 s for 4.5 s', async () => {
   const platform = (): Promise<boolean> => Promise.reject(new Error('no answer'));
-  const { leads, ms, calls } = await play({ platform, leadsAtMs: Number.POSITIVE_INFINITY });
+  const { leads, ms, calls } = await runAppointment({ platform, leadsAtMs: Number.POSITIVE_INFINITY });
   assert.ok(!leads && ms >= 9000 && ms < 10_000, `${ms} ms`);
   assert.ok(calls >= 8 && calls <= 10, `${calls} calls`);
 });
 
-test('a member that has ended is named no more, and the call is waited for: its next life may be made to lead', async () => {
-  const { leads, ms, kind, calls } = await play({ leadsAtMs: Number.POSITIVE_INFINITY, endsAtMs: 600 });
+test('no more calls are made for a member that has ended, but the open one is waited out, since it may promote the next incarnation', async () => {
+  const { leads, ms, kind, calls } = await runAppointment({
+    leadsAtMs: Number.POSITIVE_INFINITY,
+    endsAtMs: 600,
+  });
   assert.ok(!leads && ms >= 5000 && ms < 5200, `${ms} ms`);
   assert.deepEqual([kind, calls], ['ended', 1]);
 });
 
-/** Users would see confirmed changes undone: the member had started again, empty, and was announced as the leader. */
+/** Guards against lost commits: a member that had restarted with an empty log was announced as the leader. */
 test('a member that leads with less than it had received is told apart', async () => {
-  const { kind } = await play({ received: { term: 0, index: 0 } });
+  const { kind } = await runAppointment({ received: { term: 0, index: 0 } });
   assert.equal(kind, 'lacks');
 });
 
 /**
- * Users saw 57 confirmed commits undone. The platform was slow, and was called each 0.5 s; each call put off the next order to the daemons, which had let go
- * for 1.5 s. The old leader came back with its log, a replica out of the holder's reach was its witness, and daemons confirmed what it
- * answered, until the platform acted. Evidence: no `order kind=seal` for 1.6 s beside three `promotion_call`.
+ * Guards against lost commits (57 in one run). The platform was slow and was called every 0.5 s. Each call
+ * deferred the next order to the daemons, whose revocation is valid for 1.5 s. The old leader came back with
+ * its log, a replica that the duty holder could not reach was its witness, and daemons acknowledged its
+ * commits until the platform promoted the successor. In the log: no `order kind=seal` for 1.6 s beside three
+ * `promotion_call`.
  */
-test('daemons are asked to let go again in time, however often the platform is called', async () => {
+test('the revocation is renewed in time, however often the platform is called', async () => {
   const platform = (): Promise<boolean> => Promise.reject(new Error('no answer'));
-  const { orderedAtMs, ms } = await play({ platform, leadsAtMs: Number.POSITIVE_INFINITY });
+  const { orderedAtMs, ms } = await runAppointment({ platform, leadsAtMs: Number.POSITIVE_INFINITY });
   const gaps = [...orderedAtMs, ms].map((atMs, index) => atMs - (orderedAtMs[index - 1] ?? 0));
-  assert.ok(Math.max(...gaps) < 1000, `${Math.max(...gaps)} ms between two orders`);
+  assert.ok(Math.max(...gaps) < 1000, `${Math.max(...gaps)} ms between two renewals`);
 });
--- a/src/leadership/member-control.test.ts
+++ b/src/leadership/member-control.test.ts
@@ -1,5 +1,5 @@
 /**
- * Over which connections a daemon asks members about themselves.
+ * Over which connections a daemon sends control requests to members.
  *
  * @packageDocumentation
  */
@@ -19,18 +19,18 @@
 const STATUS = { isPrimary: false, term: 1, received: { term: 1, index: 1 }, pausedForTerm: 0 };
 const LINK = { isOpen: true, send: () => Promise.resolve(REPLY), close: () => undefined };
 
-/** What is asked, and how. */
-interface Scene {
+/** A control, a member, and the steps taken to reach it. */
+interface Setup {
   readonly control: MemberControl;
   readonly member: Member;
   readonly steps: string[];
 }
 
 /**
- * @param mayConnect - this daemon may open connections beside its pools
- * @param gateway - how the gateways take a question
+ * @param mayConnect - this daemon may open connections outside its pools
+ * @param gateway - how the gateways respond to a request
  */
-function scene(mayConnect: boolean, gateway: 'answers' | 'is silent' | 'is out of reach'): Scene {
+function setUp(mayConnect: boolean, gateway: 'answers' | 'is silent' | 'is out of reach'): Setup {
   const steps: string[] = [];
   const member = {
     entry: { memberId: 'm' },
@@ -64,35 +64,35 @@
   return { control, member, steps };
 }
 
-test('where others hold the connections, a question goes through them', async () => {
-  const { control, member, steps } = scene(false, 'answers');
+test('a status request goes through the gateways where they hold the connections', async () => {
+  const { control, member, steps } = setUp(false, 'answers');
   const answer = await control.ask(member, { kind: 'status' }, 100, true);
   assert.equal(answer.kind, 'answered');
   assert.deepEqual(steps, ['borrow', 'return']);
 });
 
 for (const trouble of ['is silent', 'is out of reach'] as const) {
-  test(`where a gateway ${trouble}, nothing is known of the member, and nobody connects beside it`, async () => {
-    const { control, member, steps } = scene(false, trouble);
+  test(`where a gateway ${trouble}, the request is unanswered and no own connection is opened`, async () => {
+    const { control, member, steps } = setUp(false, trouble);
     assert.deepEqual(await control.ask(member, { kind: 'status' }, 30), { kind: 'busy', stage: 'gateway' });
     assert.ok(!steps.includes('dial'));
   });
 
-  test(`but for the one daemon that may, when a gateway ${trouble}`, async () => {
-    const { control, member, steps } = scene(true, trouble);
+  test(`where a gateway ${trouble}, a daemon that may connect opens an own connection`, async () => {
+    const { control, member, steps } = setUp(true, trouble);
     assert.equal((await control.ask(member, { kind: 'status' }, 30)).kind, 'answered');
     assert.ok(steps.includes('dial'));
   });
 }
 
-test('orders of a promotion go over a connection of their own', async () => {
-  const { control, member, steps } = scene(true, 'answers');
+test('pause requests go over an own connection', async () => {
+  const { control, member, steps } = setUp(true, 'answers');
   await control.ask(member, { kind: 'pause', term: 2 }, 100);
   assert.deepEqual(steps, ['dial']);
 });
 
-test('questions that come while a connection is opened wait for the same one', async () => {
-  const { member } = scene(true, 'answers');
+test('concurrent requests wait for the same connection to be opened', async () => {
+  const { member } = setUp(true, 'answers');
   let dials = 0;
   const control = new MemberControl({
     dialer: {
@@ -110,8 +110,8 @@
   assert.equal(dials, 1);
 });
 
-describe('a member whose life has ended', () => {
-  /** A control whose connections are opened when the test says so. */
+describe('a member whose incarnation has ended', () => {
+  /** A control whose connections are opened by the test. */
   function dialing(): { control: MemberControl; opened: ((link: FakeLink) => void)[] } {
     const opened: ((link: FakeLink) => void)[] = [];
     const control = new MemberControl({
@@ -124,7 +124,7 @@
   }
 
   test('is asked nothing, since another may answer for it', async () => {
-    const { control, member, steps } = scene(true, 'answers');
+    const { control, member, steps } = setUp(true, 'answers');
     member.hasEnded = true;
     for (const request of [{ kind: 'status' }, { kind: 'pause', term: 2 }] as const)
       assert.deepEqual(await control.ask(member, request, 100), { kind: 'refused' });
@@ -132,7 +132,7 @@
   });
 
   test('has said nothing by an answer that comes after its end', async () => {
-    const { member } = scene(true, 'answers');
+    const { member } = setUp(true, 'answers');
     const { control, opened } = dialing();
     const asked = control.ask(member, { kind: 'pause', term: 2 }, 100);
     member.hasEnded = true;
@@ -141,8 +141,8 @@
   });
 
   test('leaves no own connection to the next life, also not one that was being opened', async () => {
-    const { member: old } = scene(true, 'answers');
-    const { member: next } = scene(true, 'answers');
+    const { member: old } = setUp(true, 'answers');
+    const { member: next } = setUp(true, 'answers');
     const { control, opened } = dialing();
     const [early, late] = [new FakeLink(), new FakeLink()];
     const first = control.ask(old, { kind: 'pause', term: 2 }, 100);
