--- a/src/leadership/promotion-loss.test.ts
+++ b/src/leadership/promotion-loss.test.ts
@@ -1,5 +1,5 @@
 /**
- * Promotions that would lose an acknowledged commit, with members, daemons and the platform as models.
+ * Promotions that would lose an acknowledged commit, with modelled members, daemons and platform.
  *
  * @packageDocumentation
  */
@@ -10,212 +10,222 @@
 import { FIRST_TERM, ModelledGroup } from '../../test/support/modelled-group.js';
 import type { Position } from '../position/position.js';
 
-/** Time in which a supervisor has seen that a member has ended, in milliseconds. */
-const NOTED_MS = 100;
+/** Time in which a supervisor detects that a member has ended, in milliseconds. */
+const DETECTION_MS = 100;
 
-/** Time until the answer to a write that was under way, in milliseconds. */
+/** Time until the answer to a write in flight, in milliseconds. */
 const WRITE_MS = 50;
 
-function knows(latest: Position): OrderOutcome {
+function acknowledgedUpTo(latest: Position): OrderOutcome {
   return { kind: 'answered', answer: { latest, limit: latest } };
 }
 
 /** A commit that only the primary and a replica that has ended since have received; `other` lacks it. */
-function commitOnEndedReplica(): { readonly scene: ModelledGroup; readonly commit: Position } {
-  const scene = new ModelledGroup(['old', 'leaving', 'other']);
-  scene.retire('leaving');
-  scene.member('other').isDeaf = true;
-  assert.ok(scene.commit(scene.member('old')));
-  scene.member('leaving').state = 'ended';
-  scene.member('old').state = 'ended';
-  return { scene, commit: { term: FIRST_TERM, index: 2 } };
+function commitOnEndedReplica(): { readonly model: ModelledGroup; readonly commit: Position } {
+  const model = new ModelledGroup(['old', 'leaving', 'other']);
+  model.retire('leaving');
+  model.member('other').isDeaf = true;
+  assert.ok(model.commit(model.member('old')));
+  model.member('leaving').state = 'ended';
+  model.member('old').state = 'ended';
+  return { model, commit: { term: FIRST_TERM, index: 2 } };
 }
 
 describe('a commit that no running replica holds', () => {
   /**
-   * Users see a change that had been confirmed to them undone. A replica is deaf, the other one leaves: it alone receives a
-   * commit, a daemon tells its client, the replica ends, the primary crashes. One of many daemons is silent. What the
-   * others had acknowledged was thrown away because of that one, and the deaf replica was promoted.
-   * Evidence: `promotion_call member=other` though `d2` has said 3.2 and `other` has received 3.1.
+   * Guards against a lost commit. Of two replicas, one receives nothing and the other one leaves. Only the
+   * leaving one receives a commit, which a daemon acknowledges; then that replica ends and the primary
+   * crashes. One daemon does not answer. Because of that one, the reports of all others were discarded, and
+   * the replica without the commit was promoted. In the log: `promotion_call member=other` although `d2` has
+   * reported 3.2 and `other` has received 3.1.
    */
-  test('is missed though one of the daemons is silent', async () => {
-    const { scene, commit } = commitOnEndedReplica();
-    scene.daemons.set('d2', knows(commit));
-    scene.daemons.set('d3', { kind: 'silent' });
-    await scene.until('promotion_given_up');
-    assert.ok(!scene.events.includes('promote other'), scene.events.join(', '));
+  test('prevents the promotion although one of the daemons does not answer', async () => {
+    const { model, commit } = commitOnEndedReplica();
+    model.daemons.set('d2', acknowledgedUpTo(commit));
+    model.daemons.set('d3', { kind: 'silent' });
+    await model.until('promotion_given_up');
+    assert.ok(!model.events.includes('promote other'), model.events.join(', '));
   });
 
   /**
-   * The same loss, but the daemon that told its client is the silent one: nobody says that there was such a commit. The
-   * replica that has ended refuses connections, and was left out of the count of those that may hold more.
-   * Evidence: `promotion_candidates former=leaving missing=0`, then `promotion_call member=other`.
+   * The same loss, but the daemon that acknowledged the commit is the one that does not answer, so no daemon
+   * reports the commit. The ended replica refuses connections, and was not counted among the members that may
+   * hold more. In the log: `promotion_candidates former=leaving missing=0`, then
+   * `promotion_call member=other`.
    */
-  test('is not passed over though nobody who answers knows it', async () => {
-    const { scene } = commitOnEndedReplica();
-    scene.daemons.set('d2', { kind: 'silent' });
-    await scene.until('promotion_given_up');
-    assert.ok(!scene.events.includes('promote other'), scene.events.join(', '));
+  test('prevents the promotion although no daemon that answers knows of it', async () => {
+    const { model } = commitOnEndedReplica();
+    model.daemons.set('d2', { kind: 'silent' });
+    await model.until('promotion_given_up');
+    assert.ok(!model.events.includes('promote other'), model.events.join(', '));
   });
 
   test('is found with the new member at the address of the one that ended', async () => {
-    const { scene, commit } = commitOnEndedReplica();
-    scene.daemons.set('d2', { kind: 'silent' });
-    const { port } = scene.member('leaving');
-    const running = scene.until('leads come');
-    await scene.reached('promotion_given_up');
-    scene.add('come', port).received = commit;
+    const { model, commit } = commitOnEndedReplica();
+    model.daemons.set('d2', { kind: 'silent' });
+    const { port } = model.member('leaving');
+    const running = model.until('leads come');
+    await model.reached('promotion_given_up');
+    model.add('come', port).received = commit;
     await running;
-    assert.ok(!scene.events.includes('promote other'), scene.events.join(', '));
+    assert.ok(!model.events.includes('promote other'), model.events.join(', '));
   });
 
-  test('is waited for no longer than the directory keeps the replica in mind', async () => {
-    const { scene } = commitOnEndedReplica();
-    scene.daemons.set('d2', { kind: 'silent' });
-    const running = scene.until('leads other');
-    await scene.reached('promotion_given_up');
-    scene.group.former.delete('leaving');
+  test('is waited for no longer than the directory lists the replica as former', async () => {
+    const { model } = commitOnEndedReplica();
+    model.daemons.set('d2', { kind: 'silent' });
+    const running = model.until('leads other');
+    await model.reached('promotion_given_up');
+    model.group.former.delete('leaving');
     await running;
   });
 });
 
 describe('a replica that ended while the primary led', () => {
-  /** The supervisor has had the time to see that it ended; then the primary crashes, and a daemon is silent. */
-  async function endedBeforeCrash(prepare: (scene: ModelledGroup) => void): Promise<ModelledGroup> {
-    const scene = new ModelledGroup(['old', 'leaving', 'other']);
-    scene.retire('leaving');
-    scene.daemons.set('d2', { kind: 'silent' });
-    scene.group.evidence.witness(FIRST_TERM, 0, performance.now());
-    prepare(scene);
-    scene.member('leaving').state = 'ended';
-    const running = scene.supervisor.run();
-    await delay(NOTED_MS);
-    scene.member('old').state = 'ended';
-    scene.supervisor.suspect();
-    await Promise.race([scene.reached('leads other'), scene.reached('promotion_given_up')]);
-    scene.supervisor.stop();
+  /**
+   * The supervisor has had time to detect the end; then the primary crashes, and a daemon does not answer.
+   */
+  async function endedBeforeCrash(setUp: (model: ModelledGroup) => void): Promise<ModelledGroup> {
+    const model = new ModelledGroup(['old', 'leaving', 'other']);
+    model.retire('leaving');
+    model.daemons.set('d2', { kind: 'silent' });
+    model.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    setUp(model);
+    model.member('leaving').state = 'ended';
+    const running = model.supervisor.run();
+    await delay(DETECTION_MS);
+    model.member('old').state = 'ended';
+    model.supervisor.suspect();
+    await Promise.race([model.reached('leads other'), model.reached('promotion_given_up')]);
+    model.supervisor.stop();
     await running;
-    return scene;
+    return model;
   }
 
-  test('holds up no promotion of one that has come as far as the primary was then', async () => {
-    const scene = await endedBeforeCrash((group) => void group.commit(group.member('old')));
-    assert.ok(scene.events.includes('leads other'), scene.events.join(', '));
+  test('does not block the promotion of a replica that has reached the position of the primary at that time', async () => {
+    const model = await endedBeforeCrash((group) => void group.commit(group.member('old')));
+    assert.ok(model.events.includes('leads other'), model.events.join(', '));
   });
 
-  test('may have more than one that has not', async () => {
-    const scene = await endedBeforeCrash((group) => {
+  test('blocks the promotion of a replica that has not reached that position', async () => {
+    const model = await endedBeforeCrash((group) => {
       group.member('other').isDeaf = true;
       assert.ok(group.commit(group.member('old')));
     });
-    assert.ok(scene.events.includes('promotion_given_up'), scene.events.join(', '));
+    assert.ok(model.events.includes('promotion_given_up'), model.events.join(', '));
   });
 });
 
-describe('a call that the platform acts on late', () => {
-  /** Time that the platform takes for a call, in milliseconds: beyond the wait for one, as when it is slow. */
+describe('a call that the platform executes late', () => {
+  /**
+   * Time that the platform takes to execute a call, in milliseconds: longer than the wait for the effect of
+   * one call.
+   */
   const SLOW_PLATFORM_MS = 2200;
 
   /**
-   * Users see a confirmed change undone some seconds after a hiccup. The primary is silent for a moment, the replica that
-   * has received the most is named to the platform, which is slow. The promotion is given up after 1.5 s, the replicas
-   * are resumed, the primary is back, and a commit is acknowledged on the word of the other replica alone. Then the
-   * platform does what it was asked.
-   * Evidence: `promotion_given_up reason="the platform did not do it"`, and `leads` of that member after it.
+   * Guards against a lost commit some seconds after a short outage. The primary does not answer for a moment,
+   * and the platform, which is slow, is called for the replica that has received the most. The promotion is
+   * given up after 1.5 s, the replicas are resumed, the primary is back, and a commit is acknowledged that
+   * only the other replica has received. Then the platform executes the call. In the log:
+   * `promotion_given_up reason="the platform did not promote the successor"`, and `leads` of that member
+   * after it.
    */
-  test('finds the member with every commit that was acknowledged meanwhile', async () => {
-    const scene = new ModelledGroup(['old', 'named', 'other']);
-    const old = scene.member('old');
-    scene.member('other').isDeaf = true;
-    assert.ok(scene.commit(old));
-    scene.platform = (memberId) => {
-      setTimeout(() => scene.lead(memberId), SLOW_PLATFORM_MS);
+  test('promotes a member that holds every commit acknowledged in the meantime', async () => {
+    const model = new ModelledGroup(['old', 'named', 'other']);
+    const old = model.member('old');
+    model.member('other').isDeaf = true;
+    assert.ok(model.commit(old));
+    model.platform = (memberId) => {
+      setTimeout(() => model.lead(memberId), SLOW_PLATFORM_MS);
       return Promise.reject(new Error('no answer in time'));
     };
     old.state = 'dark';
-    const running = scene.until('leads named');
-    await scene.reached('promote named');
+    const running = model.until('leads named');
+    await model.reached('promote named');
     old.state = 'running';
-    scene.member('other').isDeaf = false;
-    scene.member('named').isDeaf = true;
+    model.member('other').isDeaf = false;
+    model.member('named').isDeaf = true;
     let acknowledged = old.received;
     const traffic = setInterval(() => {
-      if (scene.events.includes('leads named')) clearInterval(traffic);
-      else if (scene.commit(old)) acknowledged = old.received;
+      if (model.events.includes('leads named')) clearInterval(traffic);
+      else if (model.commit(old)) acknowledged = old.received;
     }, 20);
     await running;
-    assert.deepEqual(scene.member('named').received, acknowledged, scene.events.join(', '));
+    assert.deepEqual(model.member('named').received, acknowledged, model.events.join(', '));
   });
 });
 
-describe('a write under way when the daemons let go', () => {
+describe('a write in flight when the daemons drop their evidence', () => {
   /**
-   * Users see a confirmed change undone after a link of one machine failed. The holder of the duty reaches neither the
-   * primary nor one replica; another daemon reaches both. It lets go, says what it has acknowledged, and is given the answer
-   * to a write that it had sent before: received by the replica that the holder cannot pause. The holder takes what it was told
-   * first for the whole, and has the other replica promoted.
-   * Evidence: `promotion_candidates missing=1 acknowledged=3.1`, and `d2` acknowledges 3.2 while the pauses are waited for.
+   * Guards against a lost commit after a network link of one machine failed. The duty holder reaches neither
+   * the primary nor one replica; another daemon reaches both. That daemon drops its evidence, reports what it
+   * has acknowledged, and then gets the answer to a write that it had sent before: received by the replica
+   * that the duty holder cannot pause. The duty holder takes the first report as complete, and has the other
+   * replica promoted. In the log: `promotion_candidates missing=1 acknowledged=3.1`, and `d2` acknowledges
+   * 3.2 during the wait for the pauses.
    */
   test('is covered by a promotion that goes without a replica', async () => {
-    const scene = new ModelledGroup(['old', 'far', 'near']);
-    const old = scene.member('old');
-    scene.daemons.set('d2', knows(old.received));
+    const model = new ModelledGroup(['old', 'far', 'near']);
+    const old = model.member('old');
+    model.daemons.set('d2', acknowledgedUpTo(old.received));
     old.state = 'dark';
-    scene.member('far').state = 'dark';
-    scene.member('near').isDeaf = true;
-    const ended = Promise.race([scene.until('promotion_given_up'), scene.reached('leads near')]);
-    await scene.reached('revoke');
+    model.member('far').state = 'dark';
+    model.member('near').isDeaf = true;
+    const ended = Promise.race([model.until('promotion_given_up'), model.reached('leads near')]);
+    await model.reached('revoke');
     await delay(WRITE_MS);
-    scene.daemons.set('d2', knows({ term: FIRST_TERM, index: 2 }));
+    model.daemons.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 2 }));
     await ended;
-    scene.supervisor.stop();
-    assert.ok(!scene.events.includes('promote near'), scene.events.join(', '));
-    assert.ok(scene.events.includes('seal'), scene.events.join(', '));
+    model.supervisor.stop();
+    assert.ok(!model.events.includes('promote near'), model.events.join(', '));
+    assert.ok(model.events.includes('seal'), model.events.join(', '));
   });
 
   test('does not keep a replica from the lead that has received it, too', async () => {
-    const scene = new ModelledGroup(['old', 'far', 'near']);
-    const old = scene.member('old');
-    scene.daemons.set('d2', knows(old.received));
-    assert.ok(scene.commit(old));
+    const model = new ModelledGroup(['old', 'far', 'near']);
+    const old = model.member('old');
+    model.daemons.set('d2', acknowledgedUpTo(old.received));
+    assert.ok(model.commit(old));
     old.state = 'dark';
-    scene.member('far').state = 'dark';
-    const ended = scene.until('leads near');
-    await scene.reached('revoke');
+    model.member('far').state = 'dark';
+    const ended = model.until('leads near');
+    await model.reached('revoke');
     await delay(WRITE_MS);
-    scene.daemons.set('d2', knows(old.received));
+    model.daemons.set('d2', acknowledgedUpTo(old.received));
     await ended;
-    assert.ok(!scene.events.includes('promotion_given_up'), scene.events.join(', '));
+    assert.ok(!model.events.includes('promotion_given_up'), model.events.join(', '));
   });
 });
 
-describe('a holder that has lost the duty', () => {
+describe('a holder that has lost the promotion duty', () => {
   /**
-   * Users see a confirmed change undone after the holder of the duty stood still. It pauses the replicas and calls the platform;
-   * meanwhile its duty lapses, and the next holder pauses them for its own promotion. The first one finds that its own came
-   * to nothing, and resumes them: a write that waits at the old primary is received and acknowledged.
-   * Evidence: `duty_lost`, then `promotion_given_up` and orders to resume by the same daemon.
+   * Guards against a lost commit after the process of the duty holder was stalled. It pauses the replicas and
+   * calls the platform; meanwhile its duty expires, and the next holder pauses the replicas for its own
+   * promotion. The first holder gives its promotion up and resumes them: a write that waits at the old
+   * primary is received and acknowledged. In the log: `duty_lost`, then `promotion_given_up` and `resume`
+   * requests by the same daemon.
    */
-  test('lifts no pause, which may be the one of the next holder', async () => {
-    const scene = new ModelledGroup(['old', 'named', 'other']);
-    scene.member('named').received = { term: FIRST_TERM, index: 2 };
-    scene.member('old').state = 'dark';
-    scene.platform = () => {
-      scene.isDutyHeld = false;
-      scene.member('named').state = 'ended';
+  test('does not resume replicas, since the pauses may be those of the next holder', async () => {
+    const model = new ModelledGroup(['old', 'named', 'other']);
+    model.member('named').received = { term: FIRST_TERM, index: 2 };
+    model.member('old').state = 'dark';
+    model.platform = () => {
+      model.isDutyHeld = false;
+      model.member('named').state = 'ended';
       return Promise.reject(new Error('no answer in time'));
     };
-    await scene.until('promotion_given_up');
-    assert.notEqual(scene.member('other').pausedForTerm, 0);
-    assert.ok(!scene.events.includes('allow'), scene.events.join(', '));
+    await model.until('promotion_given_up');
+    assert.notEqual(model.member('other').pausedForTerm, 0);
+    assert.ok(!model.events.includes('allow'), model.events.join(', '));
   });
 
-  test('leaves it to the next one, who finishes the promotion though the old primary is proven to lead', async () => {
-    const scene = new ModelledGroup(['old', 'one', 'other']);
-    scene.group.evidence.witness(FIRST_TERM, 0, performance.now());
-    scene.member('other').pausedForTerm = FIRST_TERM + 1;
-    await scene.until('promotion_ends');
-    assert.equal(scene.member('other').pausedForTerm, 0);
-    assert.ok(!scene.member('old').isPrimary);
+  test('leaves the pauses to the next holder, which completes the promotion although the old primary is proven to lead', async () => {
+    const model = new ModelledGroup(['old', 'one', 'other']);
+    model.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    model.member('other').pausedForTerm = FIRST_TERM + 1;
+    await model.until('promotion_ends');
+    assert.equal(model.member('other').pausedForTerm, 0);
+    assert.ok(!model.member('old').isPrimary);
   });
 });
