--- a/src/leadership/appointment.ts
+++ b/src/leadership/appointment.ts
@@ -49,7 +49,7 @@
   status(): Promise<ControlAnswer>;
   /** Repeats the order to all daemons that revokes the old leader. */
   renewRevocation(): void;
-  /** Checks that the other replicas are still paused; called with each status request to the member. */
+  /** Pauses other replicas that are not paused any more; called with each status request to the member. */
   enforcePauses(): void;
   now(): number;
 }
