--- a/src/cluster/daemon-ends.ts
+++ b/src/cluster/daemon-ends.ts
@@ -1,58 +1,65 @@
 /**
- * Since when no process has stood at the address of a daemon. Pure: times are passed in, in monotonic milliseconds.
+ * Tracks since when no daemon process has listened at an address. Pure: times are passed in, in monotonic
+ * milliseconds.
  *
- * A daemon whose process ends forgets what it has acknowledged. Whatever that was, it was before its end, so a position that the leader gave
- * later bounds it. A host that refuses a connection shows that no process stands there at that moment; refusals that follow each other closely show
- * the same of the time between, since a process acknowledges nothing in its first second.
+ * A daemon process loses its record of acknowledged commits when it exits. All of them precede the exit, so
+ * any position that the leader reports later is an upper bound for them. A refused connection proves that no
+ * process listens at the address at that moment. Refusals in close succession prove the same for the time
+ * between them, because a process acknowledges nothing in its first second.
  *
  * @packageDocumentation
  */
 import { REGISTRATION_SETTLE_MS } from '../leadership/leadership-evidence.js';
 
-/** Longest time of a question whether a process stands at an address, in milliseconds. */
-export const END_DIAL_MS = 250;
-/** Time in which a process that started and ended unseen cannot have acknowledged anything, with that of a question taken off. */
-const UNSEEN_MS = REGISTRATION_SETTLE_MS - END_DIAL_MS - 50;
+export const PROBE_TIMEOUT_MS = 250;
+/**
+ * Gap between two refusals below which a process that started and exited unobserved between them cannot have
+ * acknowledged anything. The duration of a probe is subtracted.
+ */
+const MAX_REFUSAL_GAP_MS = REGISTRATION_SETTLE_MS - PROBE_TIMEOUT_MS - 50;
 
-/** A time in which nothing was acknowledged at an address. */
+/** An interval in which no process at an address acknowledged a commit. */
 export interface Absence {
-  /** When the first refusal of this time had come. */
+  /** When the first refusal of the interval was received. */
   readonly sinceMs: number;
-  /** When the last one had come. */
+  /** When the last refusal was received. */
   readonly lastMs: number;
 }
 
-/** An absence as one daemon tells another of it. */
-export interface ToldAbsence {
+/** An absence as one daemon reports it to another; ages, because the daemons' clocks differ. */
+export interface ReportedAbsence {
   readonly address: string;
-  /** Time since its first and its last refusal, in milliseconds. */
+  /** Time since the first and the last refusal, in milliseconds. */
   readonly sinceAgoMs: number;
   readonly lastAgoMs: number;
 }
 
-/** The absences at some addresses. */
-export class DaemonEnds {
+/** Keeps the latest absence for each address. */
+export class AbsenceTracker {
   readonly #absences = new Map<string, Absence>();
 
-  /** The host of an address has refused a connection. */
-  refused(address: string, nowMs: number): void {
+  /** Records that a connection to the address was refused. */
+  recordRefusal(address: string, nowMs: number): void {
     const known = this.#absences.get(address);
-    const goesOn = known !== undefined && nowMs - known.lastMs < UNSEEN_MS;
-    this.#absences.set(address, { sinceMs: goesOn ? known.sinceMs : nowMs, lastMs: nowMs });
+    const isContinuation = known !== undefined && nowMs - known.lastMs < MAX_REFUSAL_GAP_MS;
+    this.#absences.set(address, { sinceMs: isContinuation ? known.sinceMs : nowMs, lastMs: nowMs });
   }
 
-  /** Another daemon has seen an absence; the one that is known is kept where it is the later of two. */
-  learn(address: string, told: Absence): void {
+  /**
+   * Merges an absence that another daemon has observed. Absences separated by less than the maximum gap are
+   * joined; otherwise the later one is kept.
+   */
+  merge(address: string, reported: Absence): void {
     const known = this.#absences.get(address);
-    if (known === undefined) return void this.#absences.set(address, told);
-    const [earlier, later] = known.sinceMs <= told.sinceMs ? [known, told] : [told, known];
-    const goesOn = later.sinceMs - earlier.lastMs < UNSEEN_MS;
+    if (known === undefined) return void this.#absences.set(address, reported);
+    const [earlier, later] = known.sinceMs <= reported.sinceMs ? [known, reported] : [reported, known];
+    const isContinuation = later.sinceMs - earlier.lastMs < MAX_REFUSAL_GAP_MS;
     const lastMs = Math.max(earlier.lastMs, later.lastMs);
-    this.#absences.set(address, goesOn ? { sinceMs: earlier.sinceMs, lastMs } : later);
+    this.#absences.set(address, isContinuation ? { sinceMs: earlier.sinceMs, lastMs } : later);
   }
 
-  /** All that are known, as ages. */
-  tell(nowMs: number): readonly ToldAbsence[] {
+  /** All known absences, as ages at `nowMs`. */
+  report(nowMs: number): readonly ReportedAbsence[] {
     return [...this.#absences].map(([address, { sinceMs, lastMs }]) => ({
       address,
       sinceAgoMs: nowMs - sinceMs,
@@ -60,37 +67,38 @@
     }));
   }
 
-  /** The last absence at an address, or `null`. */
-  of(address: string): Absence | null {
+  /** The latest absence at an address, or `null`. */
+  find(address: string): Absence | null {
     return this.#absences.get(address) ?? null;
   }
 
-  /** Forgets absences that ended before `sinceMs`. */
-  trim(sinceMs: number): void {
+  /** Discards absences that ended before `sinceMs`. */
+  discardBefore(sinceMs: number): void {
     for (const [address, { lastMs }] of this.#absences) if (lastMs < sinceMs) this.#absences.delete(address);
   }
 }
 
 /**
- * An absence that was told in an answer, by this daemon's clock: as short as it may have been.
+ * Converts an absence reported in an answer to this daemon's clock. The time that the answer was under way is
+ * unknown, so the result is the shortest interval that fits.
  *
- * @param askedAtMs - when the question was sent
- * @param heardAtMs - when its answer was there
+ * @param sentAtMs - when the request was sent
+ * @param receivedAtMs - when the answer was received
  */
-export function absenceOf(
-  { sinceAgoMs, lastAgoMs }: ToldAbsence,
-  askedAtMs: number,
-  heardAtMs: number,
+export function toLocalAbsence(
+  { sinceAgoMs, lastAgoMs }: ReportedAbsence,
+  sentAtMs: number,
+  receivedAtMs: number,
 ): Absence {
-  const sinceMs = heardAtMs - sinceAgoMs;
-  return { sinceMs, lastMs: Math.max(sinceMs, askedAtMs - lastAgoMs) };
+  const sinceMs = receivedAtMs - sinceAgoMs;
+  return { sinceMs, lastMs: Math.max(sinceMs, sentAtMs - lastAgoMs) };
 }
 
 /**
- * When the processes at an address had ended that stood there before the present one, or `null` where that was not seen.
+ * Time by which all earlier processes at an address had exited, or `null` when their exit was not observed.
  *
- * @param beganMs - when the present one had taken the address
+ * @param beganMs - when the current process was at the address already
  */
 export function endedBefore({ sinceMs, lastMs }: Absence, beganMs: number): number | null {
-  return beganMs - lastMs < UNSEEN_MS ? sinceMs : null;
+  return beganMs - lastMs < MAX_REFUSAL_GAP_MS ? sinceMs : null;
 }
--- a/src/cluster/peer-mesh.ts
+++ b/src/cluster/peer-mesh.ts
@@ -1,12 +1,19 @@
 /**
- * Connections between daemons: the holder of the promotion duty dials every other daemon and asks it to let go
- * of a leader, or tells it of a new one; the others tell the holder whom they suspect.
+ * Connections between daemons. The holder of the promotion duty connects to every other daemon and sends it
+ * orders: to revoke its evidence of a leader, or to accept a new leader. The other daemons report suspicions
+ * to the holder.
  *
  * @packageDocumentation
  */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { delay } from '../common/signal.js';
-import { absenceOf, DaemonEnds, END_DIAL_MS, type Absence, type ToldAbsence } from './daemon-ends.js';
+import {
+  toLocalAbsence,
+  AbsenceTracker,
+  PROBE_TIMEOUT_MS,
+  type Absence,
+  type ReportedAbsence,
+} from './daemon-ends.js';
 import type { DaemonRecord } from './daemon-record.js';
 import { EvidenceReader, type EvidenceAnswer, type SharedEvidence } from '../leadership/evidence-exchange.js';
 import { MessageChannel } from '../peer/message-channel.js';
@@ -15,75 +22,85 @@
 import type { Position } from '../position/position.js';
 import type { Acknowledged } from '../leadership/acknowledged.js';
 
-/** What the holder asks of the others. */
+/** An order of the duty holder to the other daemons. */
 export type HolderOrder =
-  /** Evidence for terms up to this one is to be dropped: a promotion begins. */
+  /** A promotion begins: evidence for terms up to this one has to be dropped. */
   | { readonly kind: 'revoke'; readonly groupName: string; readonly term: number }
-  /** The same; and commits of these terms that are answered after it are acknowledged no more. */
+  /** As `revoke`; in addition, commits of these terms that members answer later must not be acknowledged. */
   | {
       readonly kind: 'seal';
       readonly groupName: string;
       readonly term: number;
-      /** The platform is about to be called, or may act on a call still. */
+      /** A call to the platform that is about to be made, or that may still take effect. */
       readonly call?: OpenCall;
     }
-  /** The promotion was given up. */
+  /** The promotion was abandoned. */
   | { readonly kind: 'allow'; readonly groupName: string }
-  /** A member leads. */
+  /** A member leads the group. */
   | {
       readonly kind: 'leader';
       readonly groupName: string;
       readonly memberId: string;
       readonly term: number;
-      /** What it has received: a process that lacks it goes by the same id, and does not lead. */
+      /**
+       * Log position that it has received; a process with the same id that lacks it is a later one, and not
+       * the leader.
+       */
       readonly held: Position;
-      /** A further call that may still act. */
+      /** Another call to the platform that may still take effect. */
       readonly call?: OpenCall;
     };
 
-/** What a daemon answers to an order: what it has acknowledged to clients. */
+/** A daemon's answer to an order: the commits that it has acknowledged to clients. */
 export interface OrderAnswer extends Acknowledged {
   /**
-   * For how long this process has kept count, in milliseconds: what it does not know of was acknowledged before. Not told where that is
-   * not certain, and by daemons of earlier versions.
+   * For how long this process has recorded its acknowledgements, in milliseconds; any others were made
+   * earlier. Absent where that is not certain, and in answers of daemons of earlier versions.
    */
   readonly countedMs?: number;
-  /** Who led last, as far as it has heard: a holder of the duty that has just started has heard of nobody. */
+  /** The last leader that the daemon knows of; a duty holder that has just started knows of none. */
   readonly lastLed?: LastLed;
-  /** A call of the platform that the daemon was told of, and that may still act. */
+  /** A call to the platform that was announced to the daemon and may still take effect. */
   readonly openCall?: OpenCall;
-  /** Daemons that this one has seen to have ended, while it held the duty: the next holder has not. */
-  readonly absences?: readonly ToldAbsence[];
-  /** The newest position that the proven leader has given it: bounds what daemons had acknowledged that have ended before. */
-  readonly led?: LedPosition;
+  /**
+   * Exits of daemons that this one has observed, for example while it held the duty; the next holder has not
+   * seen them.
+   */
+  readonly absences?: readonly ReportedAbsence[];
+  /**
+   * The latest position from the proven leader; an upper bound for the acknowledgements of daemons that had
+   * exited before.
+   */
+  readonly led?: LeaderPosition;
 }
 
-/** A position that the proven leader gave. */
-export interface LedPosition {
+/** A log position reported by the proven leader. */
+export interface LeaderPosition {
   readonly position: Position;
-  /** Time since the leader was asked, in milliseconds. */
+  /** Time since the request to the leader was sent, in milliseconds. */
   readonly ageMs: number;
 }
 
 /**
- * Why a leader is doubted. `silent`: it does not answer this daemon; `refused`: it refuses or ends connections;
- * `denied`: it says that it does not lead; `stalled`: it answers, but commits are not acknowledged; `failing`: it fails
- * many of the requests that it runs.
+ * Why a leader is suspected. `silent`: it does not answer this daemon; `refused`: it refuses or closes
+ * connections; `denied`: it reports that it is not the leader; `stalled`: it answers, but commits are not
+ * acknowledged; `failing`: many of the requests that it executes fail.
  */
 export type SuspicionReason = 'silent' | 'refused' | 'denied' | 'stalled' | 'failing';
 
-/** A daemon's doubt about a member that leads. */
+/** A daemon's suspicion that the leader of a group has failed. */
 export interface Suspicion {
   readonly groupName: string;
   readonly memberId: string;
   readonly reason: SuspicionReason;
-  /** The daemon that doubts. */
+  /** Name of the daemon that reports the suspicion. */
   readonly reporter: string;
 }
 
 /**
- * How an order went at one daemon. `gone`: its process does not run; `silent`: unknown, it may still act on old
- * evidence. With the last time in which no process was seen at its address.
+ * Outcome of an order at one daemon. `gone`: its process does not run; `silent`: there was no answer, and it
+ * may still act on old evidence. `absence` is the latest interval in which no process was observed at its
+ * address.
  */
 export type OrderOutcome =
   | { readonly kind: 'answered'; readonly answer: OrderAnswer; readonly absence?: Absence }
@@ -97,37 +114,43 @@
   | { readonly type: 'answer'; readonly id: number; readonly answer: OrderAnswer }
   | { readonly type: 'suspicion'; readonly suspicion: Suspicion };
 
-/** What the mesh calls. */
+/** Callbacks of the mesh. */
 export interface MeshListener {
   order(order: HolderOrder): OrderAnswer;
   suspicion(suspicion: Suspicion): void;
-  /** The evidence that this daemon has gathered itself, for one who has been sent a version of the leaders. */
+  /**
+   * Evidence that this daemon has collected itself, for a peer that knows the given version of the list of
+   * leaders.
+   */
   ownEvidence(knownVersion: number): EvidenceAnswer;
-  /** The process of a daemon that this one gives orders to has just been seen to have ended. */
+  /** The process of a daemon that receives orders from this one was just observed to have exited. */
   daemonEnded(name: string): void;
-  /** A daemon that gave orders to this one has ended its connection. */
+  /** A daemon that has sent orders to this one has closed its connection. */
   holderLeft(host: string): void;
 }
 
 const MAX_MESSAGE_BYTES = 64 * 1024;
-/** Time between two looks at whether a process stands again where one has ended, in milliseconds, and how many there are. */
-const LOOK_MS = 300;
-const MOST_LOOKS = 12;
-/** For how long an end is of interest, in milliseconds: longer than a promotion takes. */
-const END_KNOWN_MS = 60_000;
-
-/** A connection that the holder has opened. */
-class HolderLink {
+/**
+ * Interval and maximum number of probes whether a process has started again at an address where one has
+ * exited.
+ */
+const PROBE_INTERVAL_MS = 300;
+const MAX_PROBES = 12;
+/** How long an absence is kept, in milliseconds; longer than a promotion takes. */
+const ABSENCE_RETENTION_MS = 60_000;
+
+/** An outgoing connection to another daemon. */
+class PeerConnection {
   #channel: MessageChannel<MeshMessage> | null = null;
   #dialing: Promise<'open' | 'refused' | 'silent'> | null = null;
   #isClosedByUs = false;
-  readonly #waiting = new Map<number, (outcome: OrderOutcome) => void>();
+  readonly #pendingOrders = new Map<number, (outcome: OrderOutcome) => void>();
 
   constructor(
     private readonly record: DaemonRecord,
     private readonly localAddress: string,
     private readonly listener: MeshListener,
-    private readonly ends: DaemonEnds,
+    private readonly absences: AbsenceTracker,
   ) {}
 
   async send(id: number, order: HolderOrder, timeoutMs: number): Promise<OrderOutcome> {
@@ -137,11 +160,11 @@
     if (state === 'silent' || channel === null) return { kind: 'silent' };
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        this.#waiting.delete(id);
+        this.#pendingOrders.delete(id);
         channel.destroy();
         resolve({ kind: 'silent' });
       }, timeoutMs);
-      this.#waiting.set(id, (outcome) => {
+      this.#pendingOrders.set(id, (outcome) => {
         clearTimeout(timer);
         resolve(outcome);
       });
@@ -160,12 +183,15 @@
     this.#channel?.destroy();
   }
 
-  /** A connection has broken: looks at once whether its process has ended, and until another stands there. */
-  async lookForEnd(): Promise<void> {
-    for (let look = 0; look < MOST_LOOKS && !this.#isClosedByUs; look += 1) {
+  /**
+   * Probes immediately after the connection broke whether the process has exited; repeats until a process
+   * listens there again.
+   */
+  async probeForEnd(): Promise<void> {
+    for (let probe = 0; probe < MAX_PROBES && !this.#isClosedByUs; probe += 1) {
       if ((await this.open()) !== 'refused') return;
-      if (look === 0) this.listener.daemonEnded(this.record.name);
-      await delay(LOOK_MS);
+      if (probe === 0) this.listener.daemonEnded(this.record.name);
+      await delay(PROBE_INTERVAL_MS);
     }
   }
 
@@ -176,30 +202,30 @@
       const timer = setTimeout(() => {
         resolve('silent');
         socket.destroy();
-      }, END_DIAL_MS);
+      }, PROBE_TIMEOUT_MS);
       socket.once('error', (error: NodeJS.ErrnoException) => {
         clearTimeout(timer);
-        // A reset says nothing of the process: one that lives gives it, too.
+        // A reset does not show that the process has exited; a running process may send it, too.
         const isRefused = error.code === 'ECONNREFUSED';
-        if (isRefused) this.ends.refused(addressOf(this.record), performance.now());
+        if (isRefused) this.absences.recordRefusal(addressOf(this.record), performance.now());
         resolve(isRefused ? 'refused' : 'silent');
       });
       socket.once('connect', () => {
         clearTimeout(timer);
-        this.#adopt(socket);
+        this.#attach(socket);
         resolve('open');
       });
     });
   }
 
-  #adopt(socket: Socket): void {
+  #attach(socket: Socket): void {
     const channel = new MessageChannel<MeshMessage>(socket, MAX_MESSAGE_BYTES, {
       message: (message) => this.#receive(message),
       closed: () => {
         if (this.#channel === channel) this.#channel = null;
-        for (const settle of this.#waiting.values()) settle({ kind: 'silent' });
-        this.#waiting.clear();
-        if (!this.#isClosedByUs) void this.lookForEnd();
+        for (const settle of this.#pendingOrders.values()) settle({ kind: 'silent' });
+        this.#pendingOrders.clear();
+        if (!this.#isClosedByUs) void this.probeForEnd();
       },
     });
     this.#channel = channel;
@@ -214,20 +240,20 @@
         answer: this.listener.ownEvidence(message.knownVersion),
       });
     if (message.type !== 'answer') return;
-    this.#waiting.get(message.id)?.({ kind: 'answered', answer: message.answer });
-    this.#waiting.delete(message.id);
+    this.#pendingOrders.get(message.id)?.({ kind: 'answered', answer: message.answer });
+    this.#pendingOrders.delete(message.id);
   }
 }
 
-/** One daemon's part of the mesh. */
+/** One daemon's end of the mesh. */
 export class PeerMesh {
   readonly #server: Server;
-  /** Connections that holders of the duty have opened, with what is known of their evidence. */
+  /** Incoming connections from duty holders, with the reader of the evidence that each one shares. */
   readonly #inbound = new Map<MessageChannel<MeshMessage>, EvidenceReader>();
-  readonly #links = new Map<string, HolderLink>();
-  readonly #ends = new DaemonEnds();
+  readonly #connections = new Map<string, PeerConnection>();
+  readonly #absences = new AbsenceTracker();
   #isClosed = false;
-  readonly #questions = new Map<number, (entries: readonly SharedEvidence[] | null) => void>();
+  readonly #evidenceRequests = new Map<number, (entries: readonly SharedEvidence[] | null) => void>();
   #nextId = 1;
 
   constructor(
@@ -237,7 +263,6 @@
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Starts to listen. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -245,40 +270,46 @@
     });
   }
 
-  /** Opens connections to all daemons, so that they can tell what they suspect. */
+  /**
+   * Connects to all daemons, so that they can report suspicions; closes connections to daemons that are not
+   * listed.
+   */
   connectAll(records: readonly DaemonRecord[]): void {
-    for (const record of this.#others(records)) void this.#link(record).open();
-    this.#ends.trim(performance.now() - END_KNOWN_MS);
-    const names = new Set(records.map(linkKey));
-    for (const [key, link] of this.#links) {
-      if (names.has(key)) continue;
-      link.close();
-      this.#links.delete(key);
+    for (const record of this.#others(records)) void this.#connectionTo(record).open();
+    this.#absences.discardBefore(performance.now() - ABSENCE_RETENTION_MS);
+    const keys = new Set(records.map(connectionKey));
+    for (const [key, connection] of this.#connections) {
+      if (keys.has(key)) continue;
+      connection.close();
+      this.#connections.delete(key);
     }
   }
 
-  /** Ends the connections of a holder that is one no more. */
+  /** Closes all outgoing connections; called when this daemon has lost the duty. */
   disconnectAll(): void {
-    for (const link of this.#links.values()) link.close();
-    this.#links.clear();
+    for (const connection of this.#connections.values()) connection.close();
+    this.#connections.clear();
   }
 
-  /** True when the host of a daemon answers that its process does not run. */
+  /** True when the daemon's host refuses the connection, so that its process does not run. */
   async isGone(record: DaemonRecord): Promise<boolean> {
-    const link = new HolderLink(record, this.self.host, this.listener, this.#ends);
-    const state = await link.open();
-    link.close();
+    const connection = new PeerConnection(record, this.self.host, this.listener, this.#absences);
+    const state = await connection.open();
+    connection.close();
     return state === 'refused';
   }
 
-  /** Looks whether the process of a daemon has ended, and until another stands there: whoever holds the duty next asks for it. */
+  /**
+   * Probes whether a daemon's process has exited, until one listens there again. The next duty holder asks
+   * for the result.
+   */
   async lookForEnd(record: DaemonRecord): Promise<void> {
-    const link = new HolderLink(record, this.self.host, this.listener, this.#ends);
-    await link.lookForEnd();
-    link.close();
+    const connection = new PeerConnection(record, this.self.host, this.listener, this.#absences);
+    await connection.probeForEnd();
+    connection.close();
   }
 
-  /** Gives an order to all other daemons and collects how it went. */
+  /** Sends an order to all other daemons and collects the outcomes. */
   async order(
     records: readonly DaemonRecord[],
     order: HolderOrder,
@@ -288,9 +319,9 @@
     const others = this.#others(records);
     const sends = others.map(async (record) => {
       this.#nextId += 1;
-      const askedAtMs = performance.now();
-      const outcome = await this.#link(record).send(this.#nextId, order, timeoutMs);
-      this.#learnAbsences(outcome, askedAtMs);
+      const sentAtMs = performance.now();
+      const outcome = await this.#connectionTo(record).send(this.#nextId, order, timeoutMs);
+      this.#mergeAbsences(outcome, sentAtMs);
       outcomes.set(record.name, outcome);
     });
     await Promise.all(sends);
@@ -299,26 +330,27 @@
     return outcomes;
   }
 
-  #learnAbsences(outcome: OrderOutcome, askedAtMs: number): void {
+  #mergeAbsences(outcome: OrderOutcome, sentAtMs: number): void {
     if (outcome.kind !== 'answered') return;
-    const heardAtMs = performance.now();
-    for (const told of outcome.answer.absences ?? [])
-      this.#ends.learn(told.address, absenceOf(told, askedAtMs, heardAtMs));
+    const receivedAtMs = performance.now();
+    for (const reported of outcome.answer.absences ?? [])
+      this.#absences.merge(reported.address, toLocalAbsence(reported, sentAtMs, receivedAtMs));
   }
 
   #withAbsence(record: DaemonRecord, outcome: OrderOutcome = { kind: 'silent' }): OrderOutcome {
-    const absence = this.#ends.of(addressOf(record));
+    const absence = this.#absences.find(addressOf(record));
     return outcome.kind === 'silent' || absence === null ? outcome : { ...outcome, absence };
   }
 
-  /** Tells the holder of a doubt. */
+  /** Reports a suspicion to the duty holder. */
   suspect(suspicion: Suspicion): void {
     for (const channel of this.#inbound.keys()) channel.send({ type: 'suspicion', suspicion });
   }
 
   /**
-   * The evidence of the holder that connected last, or `null` when there is none or it does not answer in time.
-   * Its ages are right or too high for a question that was asked before the call.
+   * Evidence of the duty holder that connected last, or `null` when there is none or it does not answer in
+   * time. An age subtracted from a time before the call gives the time of the evidence or an earlier one,
+   * never a later one.
    */
   askEvidence(timeoutMs: number): Promise<readonly SharedEvidence[] | null> {
     const holder = [...this.#inbound].at(-1);
@@ -327,8 +359,8 @@
     this.#nextId += 1;
     const id = this.#nextId;
     return new Promise((resolve) => {
-      const timer = setTimeout(() => this.#settleQuestion(id, null), timeoutMs);
-      this.#questions.set(id, (entries) => {
+      const timer = setTimeout(() => this.#settleEvidenceRequest(id, null), timeoutMs);
+      this.#evidenceRequests.set(id, (entries) => {
         clearTimeout(timer);
         resolve(entries);
       });
@@ -336,7 +368,6 @@
     });
   }
 
-  /** Ends everything. */
   close(): void {
     this.#isClosed = true;
     this.disconnectAll();
@@ -344,16 +375,16 @@
     this.#server.close();
   }
 
-  #toldAbsences(): { readonly absences?: readonly ToldAbsence[] } {
+  #reportAbsences(): { readonly absences?: readonly ReportedAbsence[] } {
     const nowMs = performance.now();
-    this.#ends.trim(nowMs - END_KNOWN_MS);
-    const absences = this.#ends.tell(nowMs);
+    this.#absences.discardBefore(nowMs - ABSENCE_RETENTION_MS);
+    const absences = this.#absences.report(nowMs);
     return absences.length === 0 ? {} : { absences };
   }
 
-  #settleQuestion(id: number, entries: readonly SharedEvidence[] | null): void {
-    const settle = this.#questions.get(id);
-    this.#questions.delete(id);
+  #settleEvidenceRequest(id: number, entries: readonly SharedEvidence[] | null): void {
+    const settle = this.#evidenceRequests.get(id);
+    this.#evidenceRequests.delete(id);
     settle?.(entries);
   }
 
@@ -361,14 +392,14 @@
     return records.filter((record) => record.name !== this.self.name);
   }
 
-  #link(record: DaemonRecord): HolderLink {
-    const key = linkKey(record);
-    let link = this.#links.get(key);
-    if (link === undefined) {
-      link = new HolderLink(record, this.self.host, this.listener, this.#ends);
-      this.#links.set(key, link);
+  #connectionTo(record: DaemonRecord): PeerConnection {
+    const key = connectionKey(record);
+    let connection = this.#connections.get(key);
+    if (connection === undefined) {
+      connection = new PeerConnection(record, this.self.host, this.listener, this.#absences);
+      this.#connections.set(key, connection);
     }
-    return link;
+    return connection;
   }
 
   #accept(socket: Socket): void {
@@ -377,15 +408,15 @@
     let hasOrdered = false;
     const channel: MessageChannel<MeshMessage> = new MessageChannel<MeshMessage>(socket, MAX_MESSAGE_BYTES, {
       message: (message) => {
-        if (message.type === 'evidence') this.#settleQuestion(message.id, reader.read(message.answer));
+        if (message.type === 'evidence') this.#settleEvidenceRequest(message.id, reader.read(message.answer));
         if (message.type !== 'order') return;
         hasOrdered = true;
-        const answer = { ...this.listener.order(message.order), ...this.#toldAbsences() };
+        const answer = { ...this.listener.order(message.order), ...this.#reportAbsences() };
         channel.send({ type: 'answer', id: message.id, answer });
       },
       closed: () => {
         this.#inbound.delete(channel);
-        // A connection that only asked whether this daemon stands here is no holder's.
+        // A connection without orders was only a probe whether this daemon runs, and not from a duty holder.
         if (hasOrdered && !this.#isClosed) this.listener.holderLeft(host);
       },
     });
@@ -397,6 +428,6 @@
   return `${host}:${port}`;
 }
 
-function linkKey(record: DaemonRecord): string {
+function connectionKey(record: DaemonRecord): string {
   return `${record.name} ${record.life}`;
 }
