--- a/src/cluster/duty-turn.test.ts
+++ b/src/cluster/duty-turn.test.ts
@@ -1,5 +1,5 @@
 /**
- * Who asks for a free duty, and when.
+ * Order in which daemons claim a vacant promotion duty.
  *
  * @packageDocumentation
  */
@@ -8,7 +8,7 @@
 import { fleetOf } from '../../test/support/daemon-records.js';
 import { dutyTurnMs } from './duty-turn.js';
 
-test('three ask at once, however many there are, and nobody waits for long', () => {
+test('three daemons claim immediately, whatever the fleet size, and no delay exceeds the maximum', () => {
   for (const size of [1, 2, 6, 195, 900]) {
     const fleet = fleetOf(size);
     const turns = fleet.map(({ name }) => dutyTurnMs(name, fleet));
@@ -17,6 +17,6 @@
   }
 });
 
-test('a daemon that does not know its own record yet asks at once', () => {
+test('a daemon that does not see its own record yet claims immediately', () => {
   assert.equal(dutyTurnMs('new', fleetOf(20)), 0);
 });
--- a/src/cluster/lost-records.ts
+++ b/src/cluster/lost-records.ts
@@ -1,9 +1,10 @@
 /**
- * Writes records of daemons again that the store has lost.
+ * Restores daemon records that the store has lost.
  *
- * A store that comes back from a copy lacks what daemons wrote of themselves since. One that cannot reach it goes on serving by the
- * evidence that it has, and does not register again: whoever starts after the return would not know that it has to be asked before a
- * promotion. So those who know it write its record, as it stood.
+ * A store restored from a backup lacks the records that daemons wrote after the backup was made. A daemon
+ * that cannot reach the store continues to serve on its existing evidence and does not register again. A
+ * daemon that starts after the restore would then not know that it has to ask that one before a promotion.
+ * Therefore the daemons that know a missing record write it back unchanged.
  *
  * @packageDocumentation
  */
@@ -13,53 +14,52 @@
 import type { DaemonRecord } from './daemon-record.js';
 
 /**
- * Longest time that a daemon leaves a record to the one that it is of, and to others who know it, in milliseconds: one that has only
- * lost its leases has registered by then.
+ * Maximum delay before a daemon restores the record of another, in milliseconds. A daemon that has only lost
+ * its leases has registered again by then.
  */
-const LONGEST_TURN_MS = 2000;
+const MAX_RESTORE_DELAY_MS = 2000;
 
-/** What writing records again needs. */
+/** What restoring records depends on. */
 export interface LostRecordsPorts {
   readonly store: Pick<CoordinationStore, 'transact' | 'era'>;
   readonly ownName: string;
-  /** Daemons that this one knows, whether the store has their records or not. */
+  /** Daemons that this daemon knows, whether or not the store has their records. */
   known(): readonly DaemonRecord[];
-  /** True while a record stands in this daemon's copy of the store. */
+  /** True if this daemon's copy of the store has a record of that name. */
   stands(name: string): boolean;
   keyOf(name: string): string;
-  /** A number from 0 up to 1. */
+  /** A random number in 0..1. */
   random(): number;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
-  /** Waits, in milliseconds. */
-  rest?(ms: number): Promise<void>;
+  sleep?(ms: number): Promise<void>;
 }
 
-/** The records that a return of the store has taken away. */
+/** Restores the records that are missing after the store was restored from a backup. */
 export class LostRecords {
-  /** Era of the store in which they were last looked at. */
-  #era: number | null = null;
+  /** Era of the store at the last check. */
+  #lastSeenEra: number | null = null;
 
   constructor(private readonly ports: LostRecordsPorts) {}
 
-  /** True when the copy of the store is of a later era than at the last look. */
+  /** Notes the era of the local copy of the store; true when it is later than at the last check. */
   isDue(era: number): boolean {
-    const before = this.#era;
-    this.#era = era;
-    return before !== null && era > before;
+    const lastSeenEra = this.#lastSeenEra;
+    this.#lastSeenEra = era;
+    return lastSeenEra !== null && era > lastSeenEra;
   }
 
-  /** Writes again, one after the other, what is still missing after a while. */
+  /** Waits for a random delay, then writes the records that are still missing, one at a time. */
   async restore(): Promise<void> {
-    const { store, random, rest = delay } = this.ports;
+    const { store, random, sleep: rest = delay } = this.ports;
     const era = store.era.current;
-    await rest((0.5 + random() / 2) * LONGEST_TURN_MS);
+    await rest((0.5 + random() / 2) * MAX_RESTORE_DELAY_MS);
     for (const record of this.ports.known()) {
       if (store.era.current !== era) return;
       if (record.name !== this.ports.ownName && !this.ports.stands(record.name)) await this.#write(record);
     }
   }
 
-  /** Only where nothing stands: the daemon itself, or another, may have been faster. */
+  /** Writes only if the key does not exist: the daemon itself, or another, may already have written it. */
   async #write(record: DaemonRecord): Promise<void> {
     const key = this.ports.keyOf(record.name);
     const put = { key, value: Buffer.from(JSON.stringify(record)), leaseId: 0 };
--- a/src/cluster/order-delivery.test.ts
+++ b/src/cluster/order-delivery.test.ts
@@ -1,5 +1,6 @@
 /**
- * Who is asked to let go before a promotion, and from when on a new daemon may hold evidence.
+ * Which daemons are asked to revoke evidence before a promotion, and from when on a new daemon may hold
+ * evidence.
  *
  * @packageDocumentation
  */
@@ -40,37 +41,38 @@
 }
 
 describe('an order', () => {
-  test('to let go reaches daemons that the copy of the store does not have yet', async () => {
+  test('to revoke evidence reaches daemons that the local copy of the store does not have yet', async () => {
     const { ports: given, sent } = ports(() => Promise.resolve([daemon('d1'), daemon('new')]));
     const outcomes = await deliverOrder(given, REVOKE, 200);
     assert.deepEqual(sent, ['d1', 'd2', 'new']);
     assert.deepEqual([...outcomes.keys()], ['d1', 'd2', 'new']);
   });
 
-  test('reaches a daemon that runs at another address than it did', async () => {
+  test('reaches a daemon whose address has changed', async () => {
     const { ports: given, sent } = ports(() => Promise.resolve([daemon('d1', 'elsewhere')]));
     await deliverOrder(given, REVOKE, 200);
     assert.deepEqual(sent, ['d1', 'd2', 'elsewhere']);
   });
 
   /**
-   * A daemon that had registered since the copy from which the store came back was in no register, and could acknowledge by evidence that
-   * a promotion did not know of. Found by reading; before, such an order counted as heard by all.
+   * A daemon that registered after the backup from which the store was restored is in no registry. It could
+   * acknowledge commits by evidence that the promotion does not know of, if the order counted as answered by
+   * all.
    */
-  test('counts as unheard by somebody while the register may lack some', async () => {
+  test('counts as unanswered by one daemon while the registry may be incomplete', async () => {
     const { ports: given, sent } = ports(() => Promise.resolve([daemon('new')]));
     const outcomes = await deliverOrder({ ...given, isRegisterBehind: () => true }, REVOKE, 200);
-    assert.deepEqual(sent, ['d1', 'd2', 'new'], 'those that it has are asked all the same');
+    assert.deepEqual(sent, ['d1', 'd2', 'new'], 'registered daemons receive the order all the same');
     assert.ok([...outcomes.values()].some(({ kind }) => kind === 'silent'));
   });
 
-  test('counts as unheard by somebody when the register cannot be read', async () => {
+  test('counts as unanswered by one daemon when the registry cannot be read', async () => {
     const { ports: given } = ports(() => Promise.reject(new Error('down')));
     const outcomes = await deliverOrder(given, REVOKE, 200);
     assert.ok([...outcomes.values()].some(({ kind }) => kind === 'silent'));
   });
 
-  test('of another kind reads no register', async () => {
+  test('of another kind does not read the registry', async () => {
     const { ports: given, sent } = ports(() => Promise.reject(new Error('not to be called')));
     const outcomes = await deliverOrder(given, { kind: 'allow', groupName: 'g' }, 200);
     assert.deepEqual(sent, ['d1', 'd2']);
@@ -79,7 +81,7 @@
 });
 
 describe('a daemon that registers', () => {
-  test('that starts while the store may lack its record may have had an earlier process', () => {
+  test('while the store may lack its record is assumed to have had an earlier process', () => {
     const registration = new Registration(daemon('d1'));
     registration.firstLook(new Map(), 0, { unreadable: new Set(), isBehind: true });
     assert.equal(registration.hasPredecessor, true);
@@ -87,7 +89,7 @@
     assert.equal(registration.hasPredecessor, false);
   });
 
-  test('counts evidence only once whoever promotes has certainly heard of it', () => {
+  test('counts evidence only once every duty holder is certain to know it', () => {
     const registration = new Registration(daemon('d1'));
     registration.firstLook(new Map(), 0);
     assert.equal(registration.countsFromMs, Number.POSITIVE_INFINITY);
@@ -97,7 +99,7 @@
     assert.equal(registration.countsFromMs, 5000 + REGISTRATION_SETTLE_MS);
   });
 
-  test('at the address of an earlier process is known already, at another one it is not', () => {
+  test('counts as known at once at the address of an earlier process, but not at another address', () => {
     const same = new Registration(daemon('d1'));
     same.firstLook(new Map([['d1', daemon('d1')]]), 4000);
     assert.equal(same.countsFromMs, 4000, 'orders reach it already');
@@ -110,7 +112,7 @@
     assert.equal(moved.countsFromMs, 5000 + REGISTRATION_SETTLE_MS);
   });
 
-  test('right after the register was read holds no evidence from before pauses that were in time', () => {
+  test('right after the registry was read holds no evidence from before the pauses, if those were in time', () => {
     const readAtMs = 1000;
     const registration = new Registration(daemon('new'));
     registration.firstLook(new Map(), 0);
--- a/src/cluster/order-delivery.ts
+++ b/src/cluster/order-delivery.ts
@@ -1,8 +1,8 @@
 /**
- * Gives an order of the holder of the promotion duty to every daemon that may hold evidence.
+ * Delivers an order of the promotion duty's holder to every daemon that may hold leadership evidence.
  *
- * The holder's copy of the store may be behind: before a promotion the register is read from the store itself, so that a
- * daemon that registered a moment ago is asked to let go as well.
+ * The holder's local copy of the store may be stale. Before a promotion the registry is therefore read from
+ * the store itself, so that a daemon that has only just registered is asked to revoke its evidence as well.
  *
  * @packageDocumentation
  */
@@ -11,52 +11,57 @@
 import type { HolderOrder, OrderOutcome } from './peer-mesh.js';
 import { hasSameAddress } from './registration.js';
 
-/** Longest wait for the register, in milliseconds: a slow store takes some hundred. */
-const REGISTER_MS = 600;
+/** Timeout for reading the registry, in milliseconds; a slow store takes a few hundred. */
+const REGISTRY_TIMEOUT_MS = 600;
 
-/** Stands for the daemons of a register that could not be read. */
-const UNREAD = 'daemons of an unread register';
+/** Placeholder name in the outcomes for daemons that the registry did not yield. */
+const UNREAD_DAEMONS = 'daemons missing from the registry';
 
-/** How an order went, by daemon. */
+/** Outcome of an order, by daemon name. */
 export type OrderOutcomes = ReadonlyMap<string, OrderOutcome>;
 
-/** Which daemons are given an order: those of these names that are known, or all but these that are registered by now. */
+/** Recipients of an order: the known daemons with these names, or all registered daemons except these. */
 export type Recipients = { readonly only: ReadonlySet<string> } | { readonly except: ReadonlySet<string> };
 
-/** What the delivery needs. */
+/** What the delivery depends on. */
 export interface OrderPorts {
-  /** Daemons that this one knows. */
+  /** Daemons that this daemon knows. */
   known(): readonly DaemonRecord[];
-  /** Daemons whose lease runs, read from the store itself. */
+  /** Daemons with a live lease, read from the store itself. */
   readRegister(): Promise<readonly DaemonRecord[]>;
-  /** True while the store may lack some that run: it has come back from a copy a moment ago. */
+  /**
+   * True while the registry may lack running daemons, because the store was recently restored from a backup.
+   */
   isRegisterBehind(): boolean;
   send(records: readonly DaemonRecord[], order: HolderOrder, timeoutMs: number): Promise<OrderOutcomes>;
 }
 
-/** Gives an order to all other daemons. A register that cannot be read, or lacks some, counts as a daemon that is silent. */
+/**
+ * Delivers an order to all other daemons. A registry that cannot be read or may be incomplete counts as one
+ * daemon that did not answer.
+ */
 export async function deliverOrder(
   ports: OrderPorts,
   order: HolderOrder,
   timeoutMs: number,
 ): Promise<OrderOutcomes> {
   const known = ports.known();
-  const toKnown = ports.send(known, order, timeoutMs);
-  if (order.kind !== 'revoke' && order.kind !== 'seal') return toKnown;
-  const toOthers = deliverToUnknown(ports, known, order, timeoutMs);
-  return new Map([...(await toKnown), ...(await toOthers)]);
+  const knownOutcomes = ports.send(known, order, timeoutMs);
+  if (order.kind !== 'revoke' && order.kind !== 'seal') return knownOutcomes;
+  const unknownOutcomes = deliverToUnknownDaemons(ports, known, order, timeoutMs);
+  return new Map([...(await knownOutcomes), ...(await unknownOutcomes)]);
 }
 
-async function deliverToUnknown(
+async function deliverToUnknownDaemons(
   ports: OrderPorts,
   known: readonly DaemonRecord[],
   order: HolderOrder,
   timeoutMs: number,
 ): Promise<OrderOutcomes> {
   const reading = ports.readRegister().catch(() => null);
-  const register = await Promise.race([reading, delay(REGISTER_MS).then(() => null)]);
-  if (register === null) return new Map([[UNREAD, { kind: 'silent' }]]);
-  const unknown = register.filter((record) => !known.some((other) => hasSameAddress(record, other)));
+  const registered = await Promise.race([reading, delay(REGISTRY_TIMEOUT_MS).then(() => null)]);
+  if (registered === null) return new Map([[UNREAD_DAEMONS, { kind: 'silent' }]]);
+  const unknown = registered.filter((record) => !known.some((other) => hasSameAddress(record, other)));
   const outcomes = await ports.send(unknown, order, timeoutMs);
-  return ports.isRegisterBehind() ? new Map([...outcomes, [UNREAD, { kind: 'silent' }]]) : outcomes;
+  return ports.isRegisterBehind() ? new Map([...outcomes, [UNREAD_DAEMONS, { kind: 'silent' }]]) : outcomes;
 }
--- a/src/cluster/registration.ts
+++ b/src/cluster/registration.ts
@@ -1,22 +1,23 @@
 /**
- * From when on this daemon may count answers of witnesses: not before everybody who promotes knows it. Pure.
+ * Determines from when on this daemon may count witness answers as evidence: not before every daemon that may
+ * promote knows of it. Pure.
  *
  * @packageDocumentation
  */
 import type { DaemonRecord } from './daemon-record.js';
 import { REGISTRATION_SETTLE_MS } from '../leadership/leadership-evidence.js';
 
-/** What the records of the store leave open. */
-export interface RegisterGaps {
-  /** Names of daemons whose records cannot be read. */
+/** Known gaps in the daemon records of the store. */
+export interface RegistryGaps {
+  /** Names of daemons whose records cannot be parsed. */
   readonly unreadable: ReadonlySet<string>;
-  /** True while the store may lack some: it has come back from a copy a moment ago. */
+  /** True while the store may lack records, because it was recently restored from a backup. */
   readonly isBehind: boolean;
 }
 
-const NO_GAPS: RegisterGaps = { unreadable: new Set(), isBehind: false };
+const NO_GAPS: RegistryGaps = { unreadable: new Set(), isBehind: false };
 
-/** What one daemon knows of its own record in the store. */
+/** State of a daemon's own record in the store. */
 export class Registration {
   #countsFromMs = Number.POSITIVE_INFINITY;
   #hasPredecessor = true;
@@ -24,31 +25,37 @@
 
   constructor(private readonly self: DaemonRecord) {}
 
-  /** Monotonic time from which answers of witnesses count, in milliseconds. */
+  /** Monotonic time from which witness answers count as evidence, in milliseconds. */
   get countsFromMs(): number {
     return this.#countsFromMs;
   }
 
-  /** True unless this is known to be the first process of this daemon: an earlier one may have acknowledged commits. */
+  /**
+   * False only if this is known to be the daemon's first process; an earlier one may have acknowledged
+   * commits.
+   */
   get hasPredecessor(): boolean {
     return this.#hasPredecessor;
   }
 
-  /** True when the earlier process is known to have taken orders at this one's address: it has ended, since two cannot. */
+  /**
+   * True when an earlier process is known to have listened for orders at this process's address. It has
+   * exited then, because two processes cannot listen at one address.
+   */
   get isAtFormerAddress(): boolean {
     return this.#isAtFormerAddress;
   }
 
   /**
-   * Takes the records that the store had before this process registered. Orders to an earlier process at the same address
-   * reach this one, so its own record need not be awaited.
+   * Takes the records that the store held before this process registered. Orders sent to an earlier process
+   * at the same address reach this one, so evidence counts at once, without waiting for its own record.
    *
-   * @param gaps - what the records leave open
+   * @param gaps - known gaps in the records
    */
   firstLook(
     registered: ReadonlyMap<string, DaemonRecord>,
     nowMs: number,
-    { unreadable, isBehind }: RegisterGaps = NO_GAPS,
+    { unreadable, isBehind }: RegistryGaps = NO_GAPS,
   ): void {
     const { name } = this.self;
     const earlier = registered.get(name);
@@ -57,14 +64,14 @@
     if (this.#isAtFormerAddress) this.#countsFromMs = nowMs;
   }
 
-  /** The store has taken the record. */
+  /** The store has accepted this daemon's record. */
   registered(nowMs: number): void {
     if (Number.isFinite(this.#countsFromMs)) return;
     this.#countsFromMs = nowMs + REGISTRATION_SETTLE_MS;
   }
 }
 
-/** True when orders to one daemon reach the process of the other. */
+/** True when orders sent to one daemon reach the other's process. */
 export function hasSameAddress(left: DaemonRecord, right: DaemonRecord): boolean {
   return left.host === right.host && left.port === right.port;
 }
