--- a/src/cluster/daemon-directory.ts
+++ b/src/cluster/daemon-directory.ts
@@ -1,39 +1,39 @@
 /**
- * The daemons that run, as the store has them.
+ * The running daemons according to the store.
  *
- * Two questions are asked of it, with different answers while the store fails. Who may hold evidence of a leader:
- * every daemon that has registered and has not ended, also one that the store has not heard of for long. Who takes
- * part in the work: those whose lease runs; leases that ran out during an outage of the store mean nothing until its
- * callers have had time to register again.
+ * The directory gives two views, which differ while the store is unavailable:
+ * - Daemons that may hold leadership evidence: every daemon that has registered and is not known to have
+ *   exited, even if the store has not heard from it for long.
+ * - Daemons that take part in the work: those with a live lease. Leases that expired during an outage of the
+ *   store are ignored until the daemons have had time to register again.
  *
  * @packageDocumentation
  */
 import type { DaemonRecord } from './daemon-record.js';
 
-/** Time after an outage of the store in which vanished leases mean nothing, in milliseconds. */
-const SETTLE_MS = 3000;
-/** Time after which a daemon whose lease is over and that nobody reaches is taken to be gone, in milliseconds. */
-const FORGET_MS = 600_000;
+/** Time after a store outage during which expired leases are ignored, in milliseconds. */
+const LEASE_SETTLE_MS = 3000;
+/** Time after the loss of its lease for which a daemon is still assumed to run, in milliseconds. */
+const UNLEASED_RETENTION_MS = 600_000;
 
-/** Records by name. */
-type Records = ReadonlyMap<string, DaemonRecord>;
+type RecordsByName = ReadonlyMap<string, DaemonRecord>;
 
-/** Keeps the daemons' records; told of every change. */
+/** Keeps the records of the daemons; `update` has to be called on every change in the store. */
 export class DaemonDirectory {
-  #registered: Records = new Map();
+  #registered: RecordsByName = new Map();
   #leased: ReadonlySet<string> = new Set();
   readonly #live = new Map<string, DaemonRecord>();
   readonly #unleasedSinceMs = new Map<string, number>();
-  #trustedFromMs = Number.NEGATIVE_INFINITY;
+  #leasesTrustedFromMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Takes what the store has.
+   * Applies the current contents of the store.
    *
    * @param registered - all records
-   * @param leased - names of the daemons whose lease runs
-   * @returns true when a daemon has come, gone or started anew
+   * @param leased - names of the daemons with a live lease
+   * @returns true when a daemon has been added, removed or restarted
    */
-  update(registered: Records, leased: ReadonlySet<string>, nowMs: number): boolean {
+  update(registered: RecordsByName, leased: ReadonlySet<string>, nowMs: number): boolean {
     let hasChanged = false;
     for (const [name, record] of registered) {
       if (this.#registered.get(name)?.life !== record.life) hasChanged = true;
@@ -41,7 +41,7 @@
       if (this.#live.get(name)?.life !== record.life) hasChanged = true;
       this.#live.set(name, record);
     }
-    // A record that is gone was taken away: its daemon may run on, and hold evidence.
+    // A record missing from the store is kept: its daemon may still run and hold evidence.
     this.#registered = new Map([...this.#registered, ...registered]);
     this.#leased = leased;
     for (const name of leased) this.#unleasedSinceMs.delete(name);
@@ -50,29 +50,36 @@
     return this.#dropUnleased(nowMs) || hasChanged;
   }
 
-  /** The store answers again, or has stopped to. */
+  /** The store has become available or unavailable. */
   availability(isAvailable: boolean, nowMs: number): void {
-    this.#trustedFromMs = isAvailable ? nowMs + SETTLE_MS : Number.POSITIVE_INFINITY;
+    this.#leasesTrustedFromMs = isAvailable ? nowMs + LEASE_SETTLE_MS : Number.POSITIVE_INFINITY;
   }
 
-  /** True after an outage of the store, while vanished leases mean nothing here: who has just started counts the leases alone. */
+  /**
+   * True after a store outage while this directory ignores expired leases. A daemon that has just started
+   * counts live leases only, so its view may differ.
+   */
   isSettling(nowMs: number): boolean {
-    return Number.isFinite(this.#trustedFromMs) && nowMs < this.#trustedFromMs;
+    return Number.isFinite(this.#leasesTrustedFromMs) && nowMs < this.#leasesTrustedFromMs;
   }
 
-  /** Looks whether leases that ran out during an outage count by now. True when the live daemons have changed. */
+  /**
+   * Drops daemons whose leases expired during an outage, once the settle time is over. True when the live
+   * daemons have changed.
+   */
   refresh(nowMs: number): boolean {
     return this.#dropUnleased(nowMs);
   }
 
-  /** Daemons that take part in the work. */
+  /** Daemons that take part in the work: those with a live lease. */
   get live(): readonly DaemonRecord[] {
     return [...this.#live.values()];
   }
 
   /**
-   * Daemons that take part in the work or may be about to: also those that the store has a record of, and whose lease has
-   * run out or is not there yet. After a loss of power all start at the same time, and know each other by their records only.
+   * Daemons that take part in the work or may do so soon, including those with a record whose lease has
+   * expired or does not exist yet. After a power failure all daemons start at the same time and know each
+   * other only by their records.
    */
   expected(nowMs: number): readonly DaemonRecord[] {
     const expected = new Map(this.known(nowMs).map((record) => [record.name, record]));
@@ -80,21 +87,20 @@
     return [...expected.values()];
   }
 
-  /** The record of a daemon by its name, or `null`. */
   find(name: string): DaemonRecord | null {
     return this.#registered.get(name) ?? null;
   }
 
-  /** Daemons that may run, and may hold evidence of a leader. */
+  /** Daemons that may still run, and hold leadership evidence. */
   known(nowMs: number): readonly DaemonRecord[] {
     return [...this.#registered.values()].filter(({ name }) => {
-      const since = this.#unleasedSinceMs.get(name);
-      return since === undefined || nowMs - since < FORGET_MS;
+      const unleasedSinceMs = this.#unleasedSinceMs.get(name);
+      return unleasedSinceMs === undefined || nowMs - unleasedSinceMs < UNLEASED_RETENTION_MS;
     });
   }
 
   #dropUnleased(nowMs: number): boolean {
-    if (nowMs < this.#trustedFromMs) return false;
+    if (nowMs < this.#leasesTrustedFromMs) return false;
     let hasChanged = false;
     for (const name of [...this.#live.keys()]) {
       if (this.#leased.has(name) && this.#registered.has(name)) continue;
--- a/src/cluster/daemon-record.ts
+++ b/src/cluster/daemon-record.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon tells the others of itself through the store.
+ * The record that each daemon publishes about itself in the store.
  *
  * @packageDocumentation
  */
@@ -8,22 +8,22 @@
 
 const schema = z.object({
   name: word,
-  /** New with each start of the process. */
+  /** Identifies the incarnation of the process; new with each start. */
   life: text,
   host: word,
-  /** Port on which it takes orders of the holder of the promotion duty. */
+  /** Port on which it accepts orders from the holder of the promotion duty. */
   port,
-  /** Port on which it lends connections to members. */
+  /** Port of its gateway, on which it lends its connections to members to other daemons. */
   gatewayPort: port,
   zone: text,
-  /** Processors that it has, in cores of the ordinary speed. */
+  /** Processing capacity, in cores of standard speed. */
   capacity: amount,
 });
 
-/** Where another daemon is reached, and what it can carry. */
+/** Address, zone and capacity of a daemon. */
 export type DaemonRecord = Readonly<z.infer<typeof schema>>;
 
-/** Reads the record of a daemon that a key names: nobody speaks for another. */
+/** Parses the record stored under a daemon's key; rejects a record that names another daemon. */
 export function readDaemonRecord(name: string, value: Buffer): Reading<DaemonRecord> {
   const reading = readJson(value, schema);
   if (reading.kind === 'read' && reading.value.name !== name)
@@ -31,17 +31,17 @@
   return reading;
 }
 
-/** Bits of a number that names the life of a process, in one draw. */
-const LIFE_RANGE = 2 ** 48;
+/** Range of one random draw: 48 bits. */
+const INCARNATION_DRAW_RANGE = 2 ** 48;
 
 /**
- * A name for the life of a process that no other has.
+ * A unique identifier for an incarnation of a process.
  *
- * @param random - numbers in 0..1, from a source that every process seeds anew
+ * @param random - random numbers in 0..1, from a source that each process seeds differently
  */
 export function newLife(random: () => number): string {
   const draw = (): string =>
-    Math.floor(random() * LIFE_RANGE)
+    Math.floor(random() * INCARNATION_DRAW_RANGE)
       .toString(16)
       .padStart(12, '0');
   return draw() + draw();
--- a/src/cluster/delegates.ts
+++ b/src/cluster/delegates.ts
@@ -1,25 +1,26 @@
 /**
- * Which daemons do something on behalf of all. Pure; the same everywhere for the same daemons.
+ * Selects the daemons that do a task on behalf of all. Pure; every daemon computes the same selection from
+ * the same list.
  *
  * @packageDocumentation
  */
 import { preferredDaemons } from './rank-by-capacity.js';
 import type { DaemonRecord } from './daemon-record.js';
 
-/** What is done for all: asking witnesses for evidence, or following the store. */
+/** Delegated tasks: `witnesses` asks witnesses for evidence, `store` follows changes in the store. */
 export type DelegatedWork = 'witnesses' | 'store';
 
-/** Number of daemons up to which every one works for itself. */
-const SMALL_FLEET = 12;
-/** Daemons of each zone that work for the others in a larger one. */
+/** Fleet size up to which every daemon does the task itself. */
+const MAX_DAEMONS_WITHOUT_DELEGATES = 12;
+/** Number of delegates in each zone of a larger fleet. */
 const DELEGATES_PER_ZONE = 2;
 
-/** The daemons that do a work on behalf of all; `null` when everybody does it. */
+/** The daemons that do a task on behalf of all; `null` when every daemon does it. */
 export function chooseDelegates(
   work: DelegatedWork,
   daemons: readonly DaemonRecord[],
 ): readonly DaemonRecord[] | null {
-  if (daemons.length <= SMALL_FLEET) return null;
+  if (daemons.length <= MAX_DAEMONS_WITHOUT_DELEGATES) return null;
   const zones = new Set(daemons.map(({ zone }) => zone));
   return [...zones].flatMap((zone) => {
     const inZone = daemons.filter((daemon) => daemon.zone === zone);
@@ -27,24 +28,24 @@
   });
 }
 
-/** Who works on behalf of all, as long as the daemons stay the same. */
+/** Caches the delegates until the list of daemons changes. */
 export class Delegations {
-  readonly #known = new Map<DelegatedWork, readonly DaemonRecord[] | null>();
+  readonly #cache = new Map<DelegatedWork, readonly DaemonRecord[] | null>();
 
-  /** @param daemons - those that take part in the work */
+  /** @param daemons - the daemons to choose from */
   constructor(private readonly daemons: () => readonly DaemonRecord[]) {}
 
-  /** Chooses anew: the daemons have changed. */
+  /** Clears the cache; to be called when the list of daemons has changed. */
   clear(): void {
-    this.#known.clear();
+    this.#cache.clear();
   }
 
-  /** The daemons that do a work on behalf of all; `null` when everybody does it. */
+  /** The daemons that do a task on behalf of all; `null` when every daemon does it. */
   of(work: DelegatedWork): readonly DaemonRecord[] | null {
-    let delegates = this.#known.get(work);
+    let delegates = this.#cache.get(work);
     if (delegates === undefined) {
       delegates = chooseDelegates(work, this.daemons());
-      this.#known.set(work, delegates);
+      this.#cache.set(work, delegates);
     }
     return delegates;
   }
--- a/src/cluster/rank-by-capacity.test.ts
+++ b/src/cluster/rank-by-capacity.test.ts
@@ -1,5 +1,5 @@
 /**
- * The order of daemons for a key.
+ * Ranking of daemons for a key.
  *
  * @packageDocumentation
  */
@@ -12,7 +12,7 @@
   daemonRecord(`d${index}`, { capacity: 1 + (index % 3) }),
 );
 
-test('the preferred ones are the first of the whole order, however they are listed', () => {
+test('the preferred daemons are the head of the full ranking, whatever the input order', () => {
   const all = preferredDaemons('key', FLEET, FLEET.length);
   assert.equal(new Set(all).size, FLEET.length);
   const reversed = [...FLEET].reverse();
@@ -20,7 +20,7 @@
     assert.deepEqual(preferredDaemons('key', reversed, count), all.slice(0, count));
 });
 
-test('the rank of a daemon is its place in the order', () => {
+test('the rank of a daemon is its index in the full ranking', () => {
   const all = preferredDaemons('key', FLEET, FLEET.length);
   for (const [index, { name }] of all.entries()) assert.equal(rankOf('key', FLEET, name), index);
   assert.equal(rankOf('key', FLEET, 'unknown'), -1);
