--- a/src/cluster/lost-records.ts
+++ b/src/cluster/lost-records.ts
@@ -50,9 +50,9 @@
 
   /** Waits for a random delay, then writes the records that are still missing, one at a time. */
   async restore(): Promise<void> {
-    const { store, random, sleep: rest = delay } = this.ports;
+    const { store, random, sleep = delay } = this.ports;
     const era = store.era.current;
-    await rest((0.5 + random() / 2) * MAX_RESTORE_DELAY_MS);
+    await sleep((0.5 + random() / 2) * MAX_RESTORE_DELAY_MS);
     for (const record of this.ports.known()) {
       if (store.era.current !== era) return;
       if (record.name !== this.ports.ownName && !this.ports.stands(record.name)) await this.#write(record);
