--- a/src/topology/catalog.ts
+++ b/src/topology/catalog.ts
@@ -1,68 +1,68 @@
 /**
- * The configuration that the relay serves by: routes and groups, and the order of its versions.
+ * The relay's configuration: routes, groups and tenants. Only newer versions replace the one in force.
  *
  * @packageDocumentation
  */
 
 import { NO_TENANTS, type TenantRegister } from '../tenancy/tenant-register.js';
 
-/** What a route promises of its reads. */
+/** Read consistency that a route guarantees. */
 export type Consistency =
   /** Reads see every acknowledged commit. */
   | 'primary'
-  /** Reads may be as old as the route allows. */
+  /** Reads may be stale up to the bound of the route. */
   | 'bounded_staleness'
-  /** As bounded staleness, and a session sees its own commits. */
+  /** Bounded staleness; in addition, a session sees its own commits. */
   | 'read_your_writes';
 
-/** One database name, and how it is served. */
+/** How requests for one database name are served. */
 export interface Route {
   readonly database: string;
   readonly groupName: string;
   readonly consistency: Consistency;
-  /** Longest time of one statement, in milliseconds. */
+  /** Timeout of one statement, in milliseconds. */
   readonly timeoutMs: number;
-  /** Latency that an operation should keep, in milliseconds. */
+  /** Target latency of an operation, in milliseconds. */
   readonly targetLatencyMs: number;
-  /** 0 is the highest. */
+  /** 0 is the highest priority. */
   readonly priority: number;
-  /** Oldest state that a read may see, in milliseconds; 0 on primary routes. */
+  /** Maximum staleness of a read, in milliseconds; 0 on primary routes. */
   readonly maxStalenessMs: number;
-  /** Anybody may use it; of other routes, only callers whose key a tenant holds. */
+  /** True if any caller may use the route; other routes require a key that belongs to a tenant. */
   readonly isPublic: boolean;
 }
 
-/** One group of members. */
+/** Settings of one group of members. */
 export interface GroupSettings {
   readonly name: string;
-  /** Connections that each member takes from all callers. */
+  /** Connection limit of each member, over all callers together. */
   readonly maxConnections: number;
-  /** Replicas that have to receive a commit before it is acknowledged. */
+  /** Number of replicas that have to receive a commit before it is acknowledged. */
   readonly syncReplicas: number;
 }
 
-/** A whole configuration. */
+/** A complete version of the configuration. */
 export interface CatalogDocument {
   readonly version: number;
   readonly routes: ReadonlyMap<string, Route>;
   readonly groups: ReadonlyMap<string, GroupSettings>;
   readonly tenants: TenantRegister;
-  /** Longest rest of a transaction between two statements, in milliseconds. */
+  /** Maximum idle time of a transaction between two statements, in milliseconds. */
   readonly transactionIdleMs: number;
-  /** Longest message of a client, in bytes. */
+  /** Maximum size of a client message, in bytes. */
   readonly maxMessageBytes: number;
 }
 
-/** Holds the newest configuration; an older one never replaces a newer one. */
+/** Holds the configuration in force; an older version never replaces a newer one. */
 export class Catalog {
   #document: CatalogDocument | null = null;
 
-  /** The configuration in force, or `null` before the first. */
+  /** The configuration in force, or `null` before the first one. */
   get document(): CatalogDocument | null {
     return this.#document;
   }
 
-  /** Takes a configuration if it is newer; true when it is now in force. */
+  /** Adopts a configuration if it is newer; true when it is now in force. */
   offer(document: CatalogDocument): boolean {
     if (this.#document !== null && document.version <= this.#document.version) return false;
     this.#document = document;
--- a/src/topology/incarnation.ts
+++ b/src/topology/incarnation.ts
@@ -1,27 +1,33 @@
 /**
- * One life of a member: from a start of its process to its end. What one life has said or received says nothing of the next,
- * though both go by the same id. Pure.
+ * An incarnation of a member: one run of its process, from start to exit. What one incarnation has reported
+ * or received must not be attributed to the next, although both have the same member id. Pure.
  *
  * @packageDocumentation
  */
 
-/** A life of a member, told apart from others of the same id by its start. */
+/** An incarnation of a member, distinguished from others with the same id by its start time. */
 export interface Incarnation {
   readonly memberId: string;
-  /** When its process started, in milliseconds of the Unix epoch by its own clock; `null` where it does not say. */
+  /**
+   * Start time of its process, in milliseconds of the Unix epoch by its own clock; `null` if it is not
+   * reported.
+   */
   readonly bornMs: number | null;
 }
 
-/** How an entry of a directory stands to what is known of the same id. */
-export type Succession = 'same' | 'younger' | 'older';
+/**
+ * Whether a reported incarnation is the same as the known one of that member id, or was started later or
+ * earlier.
+ */
+export type IncarnationOrder = 'same' | 'younger' | 'older';
 
-/** An incarnation as logs and maps have it: the id, and the start where it is known. */
+/** Formats an incarnation for logs and map keys: the member id, and the start time if it is known. */
 export function formatIncarnation({ memberId, bornMs }: Incarnation): string {
   return bornMs === null ? memberId : `${memberId}@${bornMs}`;
 }
 
-/** How `told` stands to `known`, both of one id. An entry that does not say when it started is taken for the life that is known. */
-export function compareIncarnations(known: Incarnation, told: Incarnation): Succession {
-  if (known.bornMs === null || told.bornMs === null || known.bornMs === told.bornMs) return 'same';
-  return told.bornMs > known.bornMs ? 'younger' : 'older';
+/** Compares two incarnations of one member id. One without a start time counts as the same as the other. */
+export function compareIncarnations(known: Incarnation, reported: Incarnation): IncarnationOrder {
+  if (known.bornMs === null || reported.bornMs === null || known.bornMs === reported.bornMs) return 'same';
+  return reported.bornMs > known.bornMs ? 'younger' : 'older';
 }
--- a/src/topology/member-group.ts
+++ b/src/topology/member-group.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon knows of one group of members: who they are, who leads, how far the log has come.
+ * A daemon's view of one group of members: the members, the leader and the log positions.
  *
  * @packageDocumentation
  */
@@ -16,52 +16,54 @@
 import type { MemberConnections } from '../gateway/member-connections.js';
 import type { MemberAddress } from '../relay/member-link.js';
 
-/** A member as the directory describes it. */
+/** A member's entry in the directory. */
 export interface MemberEntry extends Incarnation {
   readonly groupName: string;
   readonly host: string;
   readonly port: number;
   readonly zone: string;
-  /** Requests that it works on at once. */
+  /** Number of requests that it executes concurrently. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** What it says of itself. */
+  /** True if the member reports itself as the primary. */
   readonly saysPrimary: boolean;
 }
 
-/** How long a member that went silent or refused connections is avoided, in milliseconds. */
-const AVOID_MS = 400;
+/** How long a member is avoided after it did not answer or refused a connection, in milliseconds. */
+const AVOIDANCE_MS = 400;
 
-/** For how long a member that was behind is taken to be as far as it said, in milliseconds. */
-const POSITION_KNOWN_MS = 150;
+/**
+ * For how long a reported position of a member that is behind is taken as its current one, in milliseconds.
+ */
+const POSITION_VALIDITY_MS = 150;
 
-/** Weight of what is known against the newest outcome. */
-const FAILURE_MEMORY = 0.9;
-/** Time in which an outcome that no other follows loses half of its weight, in milliseconds. */
+/** Weight of the previous failure share against the latest outcome. */
+const FAILURE_SMOOTHING = 0.9;
+/** Half-life of the failure share without new outcomes, in milliseconds. */
 const FAILURE_HALF_LIFE_MS = 1000;
 
-/** One member, with this daemon's connections to it. */
+/** One incarnation of a member, with this daemon's connections to it. */
 export class Member {
-  /** Since when the directory has not listed it, in monotonic milliseconds; `null` while it does. */
+  /** Since when the directory has not listed it, in monotonic milliseconds; `null` while it is listed. */
   missingSinceMs: number | null = null;
-  /** Since when it has been known to leave, in monotonic milliseconds; `null` while it stays. */
+  /** Since when it has been known to be leaving, in monotonic milliseconds; `null` otherwise. */
   leavingSinceMs: number | null = null;
   /**
-   * Its process has ended: another life goes by its id, and whoever answers at its address is not this one. Set too where the
-   * same life is reached at another address: another object stands for it then.
+   * True when its process has exited: another incarnation has its id, and whatever answers at its address is
+   * not this one. Also set when the same incarnation has moved to another address, where a new object
+   * represents it.
    */
   hasEnded = false;
   /**
-   * Since when its life has been known to this daemon, in monotonic milliseconds; without a beginning where it was listed when the
-   * directory was first read.
+   * Since when this daemon has known the incarnation, in monotonic milliseconds; negative infinity if it was
+   * listed when the directory was first read.
    */
   knownSinceMs = Number.NEGATIVE_INFINITY;
   #avoidUntilMs = Number.NEGATIVE_INFINITY;
-  /** Smoothed time of its answers, in milliseconds. */
   #latencyMs = 0;
   #failureShare = 0;
-  #failureAtMs = 0;
-  /** How far it is behind the leader in time. */
+  #failureShareAtMs = 0;
+  /** Estimate of its lag behind the leader. */
   readonly lag = new ReplicaLag();
   #position: Position = ZERO_POSITION;
   #positionAtMs = Number.NEGATIVE_INFINITY;
@@ -72,72 +74,78 @@
     readonly pool: MemberConnections,
   ) {}
 
-  /** Where it is reached. */
   get address(): MemberAddress {
     const { memberId, groupName, host, port } = this.entry;
     return { memberId, groupName, host, port };
   }
 
-  /** Smoothed time of its answers, in milliseconds; 0 before the first. */
+  /** Smoothed response time, in milliseconds; 0 before the first answer. */
   get latencyMs(): number {
     return this.#latencyMs;
   }
 
-  /** Takes the time of an answer. */
   recordLatency(ms: number): void {
     this.#latencyMs = this.#latencyMs === 0 ? ms : this.#latencyMs * 0.9 + ms * 0.1;
   }
 
-  /** Takes how an answer went. */
+  /** Updates the failure share with the outcome of a request. */
   recordOutcome(hasFailed: boolean, nowMs: number): void {
-    const known = this.failureShare(nowMs);
-    this.#failureShare = known * FAILURE_MEMORY + (hasFailed ? 1 - FAILURE_MEMORY : 0);
-    this.#failureAtMs = nowMs;
+    const previousShare = this.failureShare(nowMs);
+    this.#failureShare = previousShare * FAILURE_SMOOTHING + (hasFailed ? 1 - FAILURE_SMOOTHING : 0);
+    this.#failureShareAtMs = nowMs;
   }
 
-  /** Smoothed share of requests that it ran and failed, 0 to 1; fades, so that it is tried again. */
+  /**
+   * Smoothed share of executed requests that failed, 0 to 1; decays over time, so that the member is tried
+   * again.
+   */
   failureShare(nowMs: number): number {
     if (this.#failureShare === 0) return 0;
-    return this.#failureShare * 0.5 ** ((nowMs - this.#failureAtMs) / FAILURE_HALF_LIFE_MS);
+    return this.#failureShare * 0.5 ** ((nowMs - this.#failureShareAtMs) / FAILURE_HALF_LIFE_MS);
   }
 
-  /** Takes how far it is in the log. */
+  /** Records the log position that the member has reported, if any. */
   recordPosition(position: Position | null, nowMs: number): void {
     if (position === null) return;
     this.#position = position;
     this.#positionAtMs = nowMs;
   }
 
-  /** True when it said a short time ago that it does not hold a floor yet, or is expected to lack it by its lag. */
+  /**
+   * True when its recently reported position is below the floor, or when it is expected to lack the floor by
+   * its lag.
+   */
   isBehind({ position, reachedAtMs }: ReadFloor, nowMs: number): boolean {
     if (hasReached(this.#position, position)) return false;
-    if (nowMs - this.#positionAtMs < POSITION_KNOWN_MS) return true;
+    if (nowMs - this.#positionAtMs < POSITION_VALIDITY_MS) return true;
     return Math.max(0, nowMs - reachedAtMs) < this.lag.expectedMs(nowMs);
   }
 
-  /** Learns from whether it held the floor of a read. */
+  /** Updates the lag estimate with whether the member held the floor of a read. */
   recordFloor({ reachedAtMs }: ReadFloor, wasHeld: boolean, nowMs: number): void {
-    if (wasHeld) this.lag.held(nowMs - reachedAtMs, nowMs);
-    else this.lag.lacked(nowMs - reachedAtMs, nowMs);
+    if (wasHeld) this.lag.recordHeld(nowMs - reachedAtMs, nowMs);
+    else this.lag.recordBehind(nowMs - reachedAtMs, nowMs);
   }
 
-  /** Keeps new requests away for a while. */
+  /** Directs new requests to other members for a short time. */
   avoid(nowMs: number): void {
-    this.#avoidUntilMs = nowMs + AVOID_MS;
+    this.#avoidUntilMs = nowMs + AVOIDANCE_MS;
   }
 
-  /** It has answered at `nowMs`: nothing speaks against it. */
+  /** Records an answer at `nowMs`, and stops avoiding the member. */
   trust(nowMs: number): void {
     this.#avoidUntilMs = Number.NEGATIVE_INFINITY;
     this.#answeredAtMs = nowMs;
   }
 
-  /** When it last answered a request, in monotonic milliseconds. */
+  /**
+   * When it last answered a request, in monotonic milliseconds; negative infinity before the first answer.
+   */
   get answeredAtMs(): number {
     return this.#answeredAtMs;
   }
 
-  /** True while it went silent or refused connections a short time ago. */
+  /** True for a short time after it did not answer or refused a connection. */
   isAvoided(nowMs: number): boolean {
     return nowMs < this.#avoidUntilMs;
   }
@@ -148,57 +156,71 @@
   }
 }
 
-/** Age of the newest position of a leader below which reads have a floor, in milliseconds: the shortest bound in use. */
-const FLOOR_KNOWN_MS = 500;
+/**
+ * Maximum age of the leader's latest position at which reads have a floor, in milliseconds: the shortest
+ * staleness bound in use.
+ */
+const FLOOR_VALIDITY_MS = 500;
 
-/** One group. */
+/** State of one group. */
 export class MemberGroup {
   readonly members = new Map<string, Member>();
   /**
-   * Members that get no more work, but may still run: until they are gone they receive the log, and a commit may
-   * have been acknowledged on their word alone. By incarnation: several lives of one id may stand here.
+   * Members that receive no more requests but may still run. Until they exit they receive the log, and a
+   * commit may have been acknowledged only because one of them received it. Keyed by incarnation: there may
+   * be several with one id.
    */
   readonly former = new Map<string, Member>();
   readonly evidence: LeadershipEvidence;
   readonly positions = new PositionHistory();
   readonly commits = new CommitWatch();
-  /** What the holder of the duty has told of its calls of the platform. */
+  /** Calls to the platform that the duty holder has announced. */
   readonly calls = new CallNote();
-  /** Since when no leader has been proven, in monotonic milliseconds; `null` while one is. */
+  /** Since when no leader has been proven, in monotonic milliseconds; `null` while there is one. */
   leaderlessSinceMs: number | null = null;
-  /** Wakes whoever waits for a leader or a member. */
+  /** Wakes requests that wait for a leader or a member. */
   readonly changed = new ChangeSignal();
-  /** The latest position of a commit that this daemon has acknowledged. */
+  /** Latest position of a commit that this daemon has acknowledged. */
   #acknowledged: Position = ZERO_POSITION;
-  /** The latest position that the leader of a term gave. */
-  #led: { readonly term: number; readonly position: Position } | null = null;
-  /** The first position that the leader of the latest term has given as its own. */
-  #opened: { readonly term: number; readonly position: Position } | null = null;
-  /** The first position of the proven leader that this daemon was given. */
-  #firstLed: Position | null = null;
-  /** The last term that a known member was said to lead, and the life that did. */
-  #lastLed: { readonly term: number; readonly member: Member } | null = null;
+  /** Latest known log position of the leader of a term. */
+  #leaderPosition: { readonly term: number; readonly position: Position } | null = null;
+  /** First position that the leader of the latest term reported itself. */
+  #termStart: { readonly term: number; readonly position: Position } | null = null;
+  /** First position of a proven leader that this daemon received. */
+  #firstLeaderPosition: Position | null = null;
+  /** Latest term in which a known member was reported to lead, and the incarnation that led. */
+  #lastLeader: { readonly term: number; readonly member: Member } | null = null;
 
   /**
-   * @param countsFromMs - from when on answers of witnesses count as evidence, in monotonic milliseconds
-   * @param hasForgotten - true when this daemon may have acknowledged commits that it does not know of any more
+   * @param countsFromMs - from when on witness answers count as evidence, in monotonic milliseconds
+   * @param mayHaveLostCommits - true when this daemon may have acknowledged commits of which it has no record
+   * any more
    */
   constructor(
     readonly name: string,
     countsFromMs?: () => number,
-    private readonly hasForgotten: () => boolean = () => false,
+    private readonly mayHaveLostCommits: () => boolean = () => false,
   ) {
     this.evidence = new LeadershipEvidence(countsFromMs);
   }
 
-  /** What this daemon has acknowledged. What it has forgotten was in the log when the leader first gave its position. */
+  /**
+   * Commits that this daemon has acknowledged. Those without a record were in the log when the leader first
+   * reported its position.
+   */
   get acknowledged(): Acknowledged {
     const latest = this.#acknowledged;
-    if (!this.hasForgotten()) return { latest, limit: latest };
-    return { latest, limit: this.#firstLed === null ? null : laterPosition(latest, this.#firstLed) };
+    if (!this.mayHaveLostCommits()) return { latest, limit: latest };
+    return {
+      latest,
+      limit: this.#firstLeaderPosition === null ? null : laterPosition(latest, this.#firstLeaderPosition),
+    };
   }
 
-  /** Notes a commit that is acknowledged at once if it is `proven`; else it must not be, yet or at all. */
+  /**
+   * Records a commit as acknowledged if its standing is `proven`; otherwise it must not be acknowledged yet,
+   * or at all.
+   */
   acknowledge(position: Position, nowMs: number): CommitStanding {
     const standing = this.evidence.standing(position.term, nowMs);
     if (standing === 'proven') this.#acknowledged = laterPosition(this.#acknowledged, position);
@@ -206,133 +228,139 @@
   }
 
   /**
-   * Takes a position that the proven leader gave when it was asked at `askedAtMs`. The first for a while wakes those who
-   * wait: reads that only the leader could serve may go to others now.
+   * Records a position that the proven leader reported in answer to a request sent at `askedAtMs`. The first
+   * one after a gap wakes waiting requests: reads that only the leader could serve may go to other members
+   * now.
    *
-   * @param leader - who was proven to lead when it was asked. When another leads by now, the answer may be of a next life of it, and
-   * nothing is known any more that it would have to hold: it counts for nothing.
+   * @param leader - the proven leader when the request was sent. If another member leads by now, the position
+   * is ignored: the answer may come from a later incarnation of the old leader, and the position that would
+   * reveal this is no longer known.
    */
   recordLed(askedAtMs: number, position: Position, leader: Leader | null = this.evidence.leader): void {
     const believed = this.evidence.leader;
     if (leader?.memberId !== believed?.memberId || leader?.term !== believed?.term) return;
-    // A position that has gone back is of another life, or of an older question.
+    // A lower position comes from another incarnation, or answers an older request.
     const held = this.heldByLeader;
     if (held !== null && !hasReached(position, held)) return;
-    const wasKnown = this.positions.floorSince(askedAtMs - FLOOR_KNOWN_MS) !== null;
-    this.#firstLed ??= position;
-    this.#noteHeld(position);
-    this.#noteOpened(position);
+    const wasKnown = this.positions.floorSince(askedAtMs - FLOOR_VALIDITY_MS) !== null;
+    this.#firstLeaderPosition ??= position;
+    this.#advanceLeaderPosition(position);
+    this.#recordTermStart(position);
     this.positions.record(askedAtMs, position);
     if (!wasKnown) this.changed.notify();
   }
 
   /**
-   * A member leads a term, and holds this much. True when the lead is news.
+   * Records that a member leads a term. True when that was not known yet.
    *
-   * @param held - what it says itself that it has received, or `null` where that is not known
+   * @param held - the log position that the member reports to have received, or `null` if it is not known
    */
   learnLeader(leader: Leader, held: Position | null): boolean {
-    const isNews = this.evidence.believe(leader);
+    const isNew = this.evidence.believe(leader);
     const { leader: believed } = this.evidence;
-    if (believed?.memberId !== leader.memberId || believed.term !== leader.term) return isNews;
+    if (believed?.memberId !== leader.memberId || believed.term !== leader.term) return isNew;
     const member = this.members.get(leader.memberId) ?? this.formerOf(leader.memberId);
-    if (member !== null) this.#lastLed = { term: leader.term, member };
+    if (member !== null) this.#lastLeader = { term: leader.term, member };
     if (held !== null) {
-      this.#noteHeld(held);
-      this.#noteOpened(held);
+      this.#advanceLeaderPosition(held);
+      this.#recordTermStart(held);
     }
-    return isNews;
+    return isNew;
   }
 
-  /** Another member has received this much in the present term: the leader holds it, too. */
+  /** Records a position that another member has received in the current term; the leader holds it, too. */
   noteReceived(position: Position): void {
-    this.#noteHeld(position);
+    this.#advanceLeaderPosition(position);
   }
 
   /**
-   * The first position that the leader of a term gave as its own, or `null`. All that was acknowledged in earlier terms is at or before it:
-   * whoever is made to lead holds that.
+   * The first position that the leader of a term reported itself, or `null`. It is an upper bound for all
+   * commits acknowledged in earlier terms, because only a member that holds those is promoted.
    */
   openedWith(term: number): Position | null {
-    return this.#opened?.term === term ? this.#opened.position : null;
+    return this.#termStart?.term === term ? this.#termStart.position : null;
   }
 
-  #noteOpened(position: Position): void {
+  #recordTermStart(position: Position): void {
     const term = this.evidence.leader?.term ?? this.evidence.minimumTerm;
-    if (this.#opened?.term !== term) this.#opened = { term, position };
+    if (this.#termStart?.term !== term) this.#termStart = { term, position };
   }
 
   /**
-   * The life that led a term, as far as this daemon has heard, or `null`. Kept when the lead is lost: whoever takes over the duty
-   * of promotion then has to know whose log holds all that was acknowledged.
+   * The incarnation that led a term, or `null` if this daemon does not know it. Kept after the leader is
+   * lost, because the next holder of the promotion duty has to know whose log holds all acknowledged commits.
    */
   ledBy(term: number): Member | null {
-    return this.#lastLed?.term === term ? this.#lastLed.member : null;
+    return this.#lastLeader?.term === term ? this.#lastLeader.member : null;
   }
 
-  #noteHeld(position: Position): void {
+  #advanceLeaderPosition(position: Position): void {
     const term = this.evidence.leader?.term ?? this.evidence.minimumTerm;
-    const known = this.#led?.term === term ? this.#led.position : ZERO_POSITION;
-    this.#led = { term, position: laterPosition(known, position) };
+    const known = this.#leaderPosition?.term === term ? this.#leaderPosition.position : ZERO_POSITION;
+    this.#leaderPosition = { term, position: laterPosition(known, position) };
   }
 
   /**
-   * What the present leader has said that it holds, or `null` before it has said anything. A process that has started again under
-   * the leader's id lacks it, though evidence of the lead has not lapsed yet.
+   * The latest known position of the current leader, or `null` if none is known. A restarted process with the
+   * leader's id does not hold it, although the evidence of its leadership may not have expired yet.
    */
   get heldByLeader(): Position | null {
-    return this.#led !== null && this.#led.term === this.evidence.leader?.term ? this.#led.position : null;
+    return this.#leaderPosition !== null && this.#leaderPosition.term === this.evidence.leader?.term
+      ? this.#leaderPosition.position
+      : null;
   }
 
-  /** The former member of an id whose life has not ended, or `null`. */
+  /** The former member with an id whose incarnation has not ended, or `null`. */
   formerOf(memberId: string): Member | null {
     for (const member of this.former.values())
       if (member.entry.memberId === memberId && !member.hasEnded) return member;
     return null;
   }
 
-  /** Keeps a member in mind that gets no more work. */
+  /** Retains a member that receives no more requests. */
   keepFormer(member: Member): void {
     this.dropFormer(member);
     this.former.set(this.#formerKey(member), member);
   }
 
-  /** A former member is one no longer. */
   dropFormer(member: Member): void {
     for (const [key, former] of this.former) if (former === member) this.former.delete(key);
   }
 
-  /** Lives that do not say when they started go by one name, and by their address where two of them stand side by side. */
+  /**
+   * Incarnations without a start time have the same key; if there are two, the address is appended to the
+   * second one's.
+   */
   #formerKey({ entry }: Member): string {
     const key = formatIncarnation(entry);
     return this.former.has(key) ? `${key}@${entry.host}:${entry.port}` : key;
   }
 
-  /** Who led last, and which term, as far as this daemon has heard; `null` where it has heard of nobody. */
+  /** The last leader that this daemon knows of, with its term, or `null`. */
   get lastLed(): LastLed | null {
-    if (this.#lastLed === null) return null;
-    const { memberId, bornMs } = this.#lastLed.member.entry;
-    return { term: this.#lastLed.term, life: { memberId, bornMs } };
+    if (this.#lastLeader === null) return null;
+    const { memberId, bornMs } = this.#lastLeader.member.entry;
+    return { term: this.#lastLeader.term, life: { memberId, bornMs } };
   }
 
-  /** For how long no leader has been proven, in milliseconds; 0 while one is. */
+  /** For how long no leader has been proven, in milliseconds; 0 while there is one. */
   leaderlessMs(nowMs: number): number {
     if (this.leaderlessSinceMs === null || this.evidence.current(nowMs) !== null) return 0;
     return nowMs - this.leaderlessSinceMs;
   }
 
-  /** What is believed of the leader at `nowMs`, for the log. */
+  /** The believed leader, its term and the remaining validity of the evidence at `nowMs`, for the log. */
   describeLeadership(nowMs: number): {
     readonly leader: string | null;
     readonly term: number;
     readonly evidenceLeftMs: number;
   } {
     const { leader, minimumTerm, validUntilMs } = this.evidence;
-    const left = Number.isFinite(validUntilMs) ? Math.round(validUntilMs - nowMs) : 0;
-    return { leader: leader?.memberId ?? null, term: leader?.term ?? minimumTerm, evidenceLeftMs: left };
+    const evidenceLeftMs = Number.isFinite(validUntilMs) ? Math.round(validUntilMs - nowMs) : 0;
+    return { leader: leader?.memberId ?? null, term: leader?.term ?? minimumTerm, evidenceLeftMs };
   }
 
-  /** The member that leads by evidence valid at `nowMs`, or `null`. */
+  /** The leader by evidence that is valid at `nowMs`, or `null`. */
   leader(nowMs: number): Member | null {
     const leader = this.evidence.current(nowMs);
     return leader === null ? null : (this.members.get(leader.memberId) ?? null);
--- a/src/topology/replica-lag.test.ts
+++ b/src/topology/replica-lag.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a replica is expected to lack.
+ * Estimation of the lag of a replica.
  *
  * @packageDocumentation
  */
@@ -21,50 +21,53 @@
   bornMs: null,
 };
 
-/** Reads of a replica that is behind by a time, one each 100 ms, whose floors are of all ages up to 1400 ms. */
-function turnedDown(behindMs: number, avoidsIt: boolean): number {
+/**
+ * Number of rejected reads of a replica with constant lag: one read every 100 ms, with floors of all ages up
+ * to 1400 ms.
+ */
+function refusedReads(behindMs: number, skipsExpectedLag: boolean): number {
   const lag = new ReplicaLag();
   let refused = 0;
   for (let read = 0; read < 200; read += 1) {
     const nowMs = read * 100;
     const ageMs = (read * 370) % 1400;
-    if (avoidsIt && ageMs < lag.expectedMs(nowMs)) continue;
+    if (skipsExpectedLag && ageMs < lag.expectedMs(nowMs)) continue;
     if (ageMs >= behindMs) {
-      lag.held(ageMs, nowMs);
+      lag.recordHeld(ageMs, nowMs);
     } else {
-      lag.lacked(ageMs, nowMs);
+      lag.recordBehind(ageMs, nowMs);
       refused += 1;
     }
   }
   return refused;
 }
 
-test('few reads are turned down by a replica that is steadily behind', () => {
-  assert.ok(turnedDown(150, false) >= 20);
-  assert.ok(turnedDown(150, true) <= 10, `${turnedDown(150, true)} turned down`);
+test('a replica with constant lag rejects few reads', () => {
+  assert.ok(refusedReads(150, false) >= 20);
+  assert.ok(refusedReads(150, true) <= 10, `${refusedReads(150, true)} rejected`);
 });
 
-test('one that catches up is used again after some answers, one that nobody asks after some seconds', () => {
+test('a replica is used again a few answers after it has caught up, or some seconds after the last read', () => {
   const lag = new ReplicaLag();
-  lag.lacked(1400, 0);
+  lag.recordBehind(1400, 0);
   assert.equal(lag.expectedMs(0), 1400);
   assert.ok(lag.expectedMs(4000) <= 700);
-  for (let answer = 0; answer < 20; answer += 1) lag.held(lag.expectedMs(0), 0);
+  for (let answer = 0; answer < 20; answer += 1) lag.recordHeld(lag.expectedMs(0), 0);
   assert.ok(lag.expectedMs(0) < 200);
 });
 
-test('an old floor that was held says nothing of a short lag', () => {
+test('an old floor that was held does not reduce a short expected lag', () => {
   const lag = new ReplicaLag();
-  lag.lacked(150, 0);
-  lag.held(1400, 0);
+  lag.recordBehind(150, 0);
+  lag.recordHeld(1400, 0);
   assert.equal(lag.expectedMs(0), 150);
 });
 
-test('a member that has said that it holds a position is never taken to lack it', () => {
+test('a member that has reported a position is never assumed to lack it', () => {
   const member = new Member(ENTRY, {} as MemberConnections);
   const floor = { position: { term: 1, index: 5 }, reachedAtMs: 990 };
   member.recordFloor(floor, false, 1000);
-  assert.ok(member.isBehind({ ...floor, reachedAtMs: 995 }, 1001), 'too recent for it');
+  assert.ok(member.isBehind({ ...floor, reachedAtMs: 995 }, 1001), 'too recent for its lag');
   assert.ok(!member.isBehind({ ...floor, reachedAtMs: 0 }, 1001));
   member.recordPosition({ term: 1, index: 5 }, 1010);
   assert.ok(!member.isBehind(floor, 1011));
--- a/src/topology/replica-lag.ts
+++ b/src/topology/replica-lag.ts
@@ -1,41 +1,46 @@
 /**
- * How far a replica is behind its leader in time, learned from whether it held what reads asked of it. Pure.
+ * Estimates how far a replica lags behind its leader in time, from whether it held the positions that reads
+ * required. Pure.
  *
- * A read that a replica turns down costs a connection, and on members that are told tenants often the opening of one. What a
- * read asks for is known to have been reached by the leader at some moment: a replica that was too far behind for a moment as
- * recent as this is expected to be so again.
+ * A read that a replica rejects occupies a connection, and on members that are told the tenant it often means
+ * opening one. The leader is known to have reached the required position at a certain time. A replica that
+ * was too far behind for a position of some age is expected to be too far behind for positions as recent as
+ * that again.
  *
  * @packageDocumentation
  */
 
-/** What is expected after an answer, as a share of what was: a replica that has caught up is used again after some answers. */
-const ANSWERED_SHARE = 0.9;
-/** Time in which the expected lag halves while nothing is heard, in milliseconds: it is tried again then. */
+/**
+ * Factor for the expected lag after an answer that held the position; a replica that has caught up is used
+ * again after some answers.
+ */
+const HELD_DECAY = 0.9;
+/** Half-life of the expected lag without new answers, in milliseconds, so that the replica is tried again. */
 const HALF_LIFE_MS = 4000;
 
-/** The lag of one replica. */
+/** Lag estimate of one replica. */
 export class ReplicaLag {
   #lagMs = 0;
-  #knownAtMs = 0;
+  #updatedAtMs = 0;
 
-  /** It did not hold what the leader had reached `ageMs` ago. */
-  lacked(ageMs: number, nowMs: number): void {
+  /** Records that the replica did not hold a position that the leader had reached `ageMs` ago. */
+  recordBehind(ageMs: number, nowMs: number): void {
     this.#set(Math.max(this.expectedMs(nowMs), ageMs), nowMs);
   }
 
-  /** It held what the leader had reached `ageMs` ago. */
-  held(ageMs: number, nowMs: number): void {
+  /** Records that the replica held a position that the leader had reached `ageMs` ago. */
+  recordHeld(ageMs: number, nowMs: number): void {
     const expectedMs = this.expectedMs(nowMs);
-    if (ageMs <= expectedMs * 2) this.#set(Math.min(ageMs, expectedMs * ANSWERED_SHARE), nowMs);
+    if (ageMs <= expectedMs * 2) this.#set(Math.min(ageMs, expectedMs * HELD_DECAY), nowMs);
   }
 
-  /** Time by which it is expected to be behind, in milliseconds. */
+  /** Expected lag, in milliseconds. */
   expectedMs(nowMs: number): number {
-    return this.#lagMs * 0.5 ** ((nowMs - this.#knownAtMs) / HALF_LIFE_MS);
+    return this.#lagMs * 0.5 ** ((nowMs - this.#updatedAtMs) / HALF_LIFE_MS);
   }
 
   #set(lagMs: number, nowMs: number): void {
     this.#lagMs = lagMs;
-    this.#knownAtMs = nowMs;
+    this.#updatedAtMs = nowMs;
   }
 }
--- a/src/topology/select-member.ts
+++ b/src/topology/select-member.ts
@@ -5,56 +5,59 @@
  */
 import type { ReadFloor } from '../leadership/position-history.js';
 
-/** A member as far as the choice needs it. */
+/** Properties of a member that the choice depends on. */
 export interface ReadCandidate {
   readonly memberId: string;
   readonly isLeader: boolean;
   readonly isInZone: boolean;
-  /** Requests of this daemon at the member or waiting for it. */
+  /** Requests of this daemon that the member is working on or that wait for it. */
   readonly load: number;
   readonly slots: number;
-  /** Smoothed time of its answers, in milliseconds. */
+  /** Smoothed response time, in milliseconds; 0 before the first answer. */
   readonly latencyMs: number;
-  /** Smoothed share of requests that it ran and failed, 0 to 1. */
+  /** Smoothed share of executed requests that failed, 0 to 1. */
   readonly failureShare: number;
   readonly isLeaving: boolean;
   readonly isAvoided: boolean;
-  /** It does not hold the floor of this read yet, as far as is known. */
+  /** True if it is not expected to hold the floor of this read yet. */
   readonly isBehind: boolean;
 }
 
-/** What a read asks for. */
-export interface ReadDemand {
-  /** What a replica has to hold; `null` when only the leader will do. */
+/** What a read requires of a member. */
+export interface ReadRequirements {
+  /** Minimum log position of a replica; `null` when only the leader can serve the read. */
   readonly floor: ReadFloor | null;
-  /** Members that have refused this read. */
+  /** Ids of members that have refused this read. */
   readonly excluded: ReadonlySet<string>;
 }
 
-/** Cost of another zone, as milliseconds of waiting. */
+/** Cost of a member in another zone, as an equivalent wait in milliseconds. */
 const OTHER_ZONE_COST_MS = 30;
 
-/** Cost of the leader, which has the writes to do, as milliseconds of waiting. */
+/** Cost of the leader, which also executes the writes, as an equivalent wait in milliseconds. */
 const LEADER_COST_MS = 6;
 
-/** Cost of a request that fails and has to be asked elsewhere, as milliseconds of waiting. */
+/**
+ * Cost of a request that fails and has to be retried on another member, as an equivalent wait in
+ * milliseconds.
+ */
 const FAILURE_COST_MS = 400;
 
-/** Share of failed requests beyond that of the best member with which another is no alternative to it. */
-const ALTERNATIVE_FAILURE_SHARE = 0.1;
+/** How far the failure share of an alternative may exceed that of the best candidate. */
+const MAX_EXCESS_FAILURE_SHARE = 0.1;
 
-/** Time of one request where nothing has been measured, in milliseconds. */
+/** Assumed response time before the first measurement, in milliseconds. */
 const DEFAULT_LATENCY_MS = 15;
 
 /** The best candidate, or `null` when none can serve. */
 export function selectReadMember(
   candidates: readonly ReadCandidate[],
-  demand: ReadDemand,
+  requirements: ReadRequirements,
 ): ReadCandidate | null {
   let best: ReadCandidate | null = null;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
-    if (!canServe(candidate, demand)) continue;
+    if (!canServe(candidate, requirements)) continue;
     const cost = expectedCostMs(candidate);
     if (cost >= bestCost) continue;
     best = candidate;
@@ -64,33 +67,33 @@
 }
 
 /**
- * Other candidates at which a read may wait for a connection beside the best one: whichever has one free first serves it.
- * Not those of which something bad is known.
+ * Candidates other than the best one at which the read may also wait for a connection; the first that has one
+ * available serves it. Excludes members to be avoided and those with a clearly higher failure share.
  */
 export function alternatives(
   best: ReadCandidate,
   candidates: readonly ReadCandidate[],
-  demand: ReadDemand,
+  requirements: ReadRequirements,
 ): readonly ReadCandidate[] {
   return candidates.filter(
     (candidate) =>
       candidate !== best &&
       !candidate.isAvoided &&
-      candidate.failureShare <= best.failureShare + ALTERNATIVE_FAILURE_SHARE &&
-      canServe(candidate, demand),
+      candidate.failureShare <= best.failureShare + MAX_EXCESS_FAILURE_SHARE &&
+      canServe(candidate, requirements),
   );
 }
 
-function canServe(candidate: ReadCandidate, demand: ReadDemand): boolean {
-  if (demand.excluded.has(candidate.memberId)) return false;
+function canServe(candidate: ReadCandidate, requirements: ReadRequirements): boolean {
+  if (requirements.excluded.has(candidate.memberId)) return false;
   if (candidate.isLeaving && !candidate.isLeader) return false;
-  return candidate.isLeader || (demand.floor !== null && !candidate.isBehind);
+  return candidate.isLeader || (requirements.floor !== null && !candidate.isBehind);
 }
 
 function expectedCostMs(candidate: ReadCandidate): number {
-  const latency = candidate.latencyMs === 0 ? DEFAULT_LATENCY_MS : candidate.latencyMs;
+  const latencyMs = candidate.latencyMs === 0 ? DEFAULT_LATENCY_MS : candidate.latencyMs;
   const queue = (candidate.load + 1) / Math.max(1, candidate.slots);
-  let cost = latency * (1 + queue);
+  let cost = latencyMs * (1 + queue);
   if (!candidate.isInZone) cost += OTHER_ZONE_COST_MS;
   if (candidate.isLeader) cost += LEADER_COST_MS;
   cost += candidate.failureShare * FAILURE_COST_MS;
--- a/src/topology/topology.test.ts
+++ b/src/topology/topology.test.ts
@@ -1,5 +1,5 @@
 /**
- * The order of configurations, and the choice of a member for a read.
+ * Order of configuration versions, and choice of a member for a read.
  *
  * @packageDocumentation
  */
@@ -53,19 +53,19 @@
   return selectReadMember(candidates, { floor, excluded })?.memberId ?? null;
 }
 
-test('without a floor only the leader serves', () => {
+test('without a floor only the leader can serve a read', () => {
   assert.equal(choose([REPLICA, LEADER], null), 'l');
   assert.equal(choose([REPLICA], null), null);
 });
 
-test('a replica is preferred to the leader, its own zone to another, until its queue costs more', () => {
+test('prefers a replica to the leader, and a member in the same zone, until its queue costs more', () => {
   assert.equal(choose([LEADER, REPLICA], FLOOR), 'r1');
   const far = { ...REPLICA, memberId: 'r2', isInZone: false };
   assert.equal(choose([far, REPLICA], FLOOR), 'r1');
   assert.equal(choose([far, { ...REPLICA, load: 8 }], FLOOR), 'r2');
 });
 
-test('replicas that are behind, leave, or refused get no read; one to be avoided only when nothing else is left', () => {
+test('excludes replicas that are behind, leaving or have refused; uses an avoided one only as a last resort', () => {
   assert.equal(choose([{ ...REPLICA, isBehind: true }, LEADER], FLOOR), 'l');
   assert.equal(choose([{ ...REPLICA, isLeaving: true }], FLOOR), null);
   assert.equal(choose([REPLICA, LEADER], FLOOR, new Set(['r1'])), 'l');
@@ -73,7 +73,7 @@
   assert.equal(choose([{ ...REPLICA, isAvoided: true }], FLOOR), 'r1');
 });
 
-test('a replica that fails its requests is asked less, also from its own zone, and tried again later', () => {
+test('a failing replica gets fewer reads, even from its own zone, and is tried again later', () => {
   const failing: ReadCandidate = { ...REPLICA, failureShare: 0.4 };
   const other: ReadCandidate = { ...REPLICA, memberId: 'r2', isInZone: false };
   assert.equal(choose([failing, other], FLOOR), 'r2');
