--- a/src/topology/member-directory.test.ts
+++ b/src/topology/member-directory.test.ts
@@ -1,5 +1,5 @@
 /**
- * Lives of members as the directory lists them: a new start under a known id ends what was known of the earlier one.
+ * Incarnations of members as the directory lists them: a new one under a known id ends the earlier one.
  *
  * @packageDocumentation
  */
@@ -12,11 +12,11 @@
 
 const FIRST = entryOf();
 const SECOND = entryOf({ bornMs: 2000 });
-/** For how long a life that has ended is kept in mind, in milliseconds. */
+/** For how long an ended incarnation is retained, in milliseconds. */
 const FORMER_MS = 30_000;
 
-/** What a directory shows of its groups, for comparison. */
-function shown(scene: ListedMembers): unknown {
+/** State of the groups, for comparison. */
+function stateOfGroups(scene: ListedMembers): unknown {
   return [...scene.groups.values()].map(({ name, members, former, evidence }) => ({
     name,
     members: [...members.values()].map(stateOf),
@@ -29,7 +29,7 @@
   return { ...entry, hasEnded, missingSinceMs, leavingSinceMs };
 }
 
-/** Fails unless the earlier life of `m` has ended in its group, and nothing of it is left. */
+/** Fails unless an incarnation has ended in its group, and is retained as a former member only. */
 function assertEnded(scene: ListedMembers, old: Member): void {
   const { entry } = old;
   assert.equal(old.hasEnded, true);
@@ -37,12 +37,12 @@
   assert.notEqual(scene.group(entry.groupName).members.get(entry.memberId), old);
 }
 
-describe('a new life under a known id', () => {
+describe('a new incarnation under a known id', () => {
   /**
-   * Users saw commits undone: a replica that alone had received them started again under its id, empty, and what the earlier
-   * life had said was taken as said by the new one.
+   * Guards against lost commits. The only replica that had received them restarted empty under the same id,
+   * and reports of its earlier incarnation were attributed to the new one.
    */
-  test('is another member, that starts with nothing known of it', () => {
+  test('is another member, of which nothing is known', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const old = scene.member();
@@ -61,7 +61,7 @@
     assert.equal(member.failureShare(scene.now), 0);
     assert.equal(member.answeredAtMs, Number.NEGATIVE_INFINITY);
     assert.equal(member.isAvoided(scene.now), false);
-    assert.deepEqual(scene.forgotten, ['m'], 'own connections end');
+    assert.deepEqual(scene.forgotten, ['m'], 'control connections are closed');
   });
 
   const CHANGES: readonly [string, Partial<MemberEntry>][] = [
@@ -84,7 +84,7 @@
       if (change.groupName !== undefined) assert.equal(scene.group().members.has('m'), false);
     });
 
-  test('is one also while the earlier one leaves', () => {
+  test('is one also while the earlier one is leaving', () => {
     const scene = new ListedMembers();
     scene.directory.listed({ ...FIRST, isDraining: true });
     const old = scene.member();
@@ -93,7 +93,7 @@
     assert.equal(scene.member().isLeaving, false);
   });
 
-  test('is one also while the earlier one is gone from the listing', () => {
+  test('is one also while the earlier one is not listed', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const old = scene.member();
@@ -103,19 +103,19 @@
     assert.equal(scene.member().missingSinceMs, null);
   });
 
-  test('is taken in though the earlier one was retired and its entry never went missing', () => {
+  test('is added although the earlier one was retired and its entry never disappeared', () => {
     const scene = new ListedMembers();
     scene.directory.listed({ ...FIRST, isDraining: true });
     const old = scene.member();
     scene.pass(LEAVE_MS);
     scene.directory.listed({ ...FIRST, isDraining: true });
-    assert.equal(scene.group().members.size, 0, 'the retired life is not taken in again');
+    assert.equal(scene.group().members.size, 0, 'the retired incarnation is not added again');
     scene.directory.listed(SECOND);
     assert.equal(scene.member().entry.bornMs, 2000);
     assertEnded(scene, old);
   });
 
-  test('is told from one that is a former member already, and this one is kept in mind', () => {
+  test('is distinguished from a former member, and that one is retained', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const old = scene.member();
@@ -132,14 +132,14 @@
     assert.equal(scene.group().former.size, 0);
   });
 
-  test('several lives of one id are kept apart', () => {
+  test('is kept apart from several earlier ones', () => {
     const scene = new ListedMembers();
     for (const bornMs of [1, 2, 3]) scene.directory.listed({ ...FIRST, bornMs });
     assert.deepEqual([...scene.group().former.keys()], ['m@1', 'm@2']);
     assert.equal(scene.member().entry.bornMs, 3);
   });
 
-  test('ends the belief that the id leads, and puts the leader in doubt', () => {
+  test('ends the belief that the id leads, and reports the leader as in doubt', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.group().evidence.believe({ memberId: 'm', term: 3 });
@@ -150,7 +150,7 @@
     assert.deepEqual(scene.doubted, ['g']);
   });
 
-  test('of another member leaves the leader alone', () => {
+  test('of another member does not affect the leader', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.group().evidence.believe({ memberId: 'other', term: 3 });
@@ -159,7 +159,7 @@
     assert.deepEqual(scene.doubted, []);
   });
 
-  test('ends all connections of the earlier one at once, also those in use and silent', async () => {
+  test('closes all connections of the earlier one at once, including those in use', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const old = scene.member();
@@ -172,12 +172,12 @@
       scene.opened.map(({ link }) => link.isOpen),
       [false, false],
     );
-    await assert.rejects(scene.use(old), 'nothing more is opened for the earlier life');
+    await assert.rejects(scene.use(old), 'no connection is opened for the earlier incarnation');
     await scene.use(scene.member());
     assert.equal(scene.opened.length, 3);
   });
 
-  test('has none of the session values and prepared names of the earlier one', async () => {
+  test('does not inherit session values and prepared statements of the earlier one', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const prepared = { shape: 's', isWrite: false } as PreparedShape;
@@ -198,7 +198,7 @@
     );
   });
 
-  test('is told in the log, with the lives', () => {
+  test('is logged, with the start times of both', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.directory.listed(SECOND);
@@ -213,20 +213,20 @@
   });
 });
 
-describe('an entry of the life that is known', () => {
-  test('is no new one, whether it says when it started or not', () => {
+describe('an entry of the known incarnation', () => {
+  test('adds no member, with or without a start time', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const member = scene.member();
     scene.directory.listed({ ...FIRST, bornMs: null, slots: 9 });
     assert.equal(scene.member(), member);
     assert.equal(member.entry.slots, 9);
-    assert.equal(member.entry.bornMs, 1000, 'the start is not forgotten');
+    assert.equal(member.entry.bornMs, 1000, 'the start time is kept');
     scene.directory.listed(SECOND);
     assertEnded(scene, member);
   });
 
-  test('may say when it started after it did not', () => {
+  test('may add the start time later', () => {
     const scene = new ListedMembers();
     scene.directory.listed({ ...FIRST, bornMs: null });
     const member = scene.member();
@@ -235,7 +235,7 @@
     assert.equal(member.entry.bornMs, 1000);
   });
 
-  test('gets connections to its new address when that has changed', async () => {
+  test('with a new address leads to connections to that address', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     await scene.use(scene.member());
@@ -246,11 +246,11 @@
       scene.opened.map(({ port }) => port),
       [1, 7],
     );
-    assert.equal(scene.group().former.size, 0, 'its life goes on');
+    assert.equal(scene.group().former.size, 0, 'the incarnation has not ended');
     assert.deepEqual(scene.forgotten, ['m']);
   });
 
-  test('takes in again what was gone for long, with the connections that were in use', async () => {
+  test('adds a member again after a long absence, with the connections that were in use', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const member = scene.member();
@@ -272,7 +272,7 @@
     );
   });
 
-  test('has no more time to serve when it is read again while it leaves', () => {
+  test('does not extend the leave time when it becomes readable again while the member leaves', () => {
     const scene = new ListedMembers();
     const draining = { ...FIRST, isDraining: true };
     scene.directory.listed(draining);
@@ -284,7 +284,7 @@
     assert.equal(scene.logged('member_leaves').length, 1);
   });
 
-  test('stays retired though its entry was unreadable for a while', () => {
+  test('does not add a retired member again after it was unreadable for a while', () => {
     const scene = new ListedMembers();
     const draining = { ...FIRST, isDraining: true };
     scene.directory.listed(draining);
@@ -295,8 +295,8 @@
   });
 });
 
-describe('an entry that was good and is unreadable', () => {
-  test('names no member to use until it is good again', () => {
+describe('an entry that has become unreadable', () => {
+  test('takes its member out of use until it is readable again', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const member = scene.member();
@@ -314,7 +314,7 @@
     assert.equal(scene.group().former.size, 0);
   });
 
-  test('is kept in mind while it stands, and for a while after', () => {
+  test('retains its member while it exists, and for a while after', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.directory.unreadable('m');
@@ -328,7 +328,7 @@
     assert.deepEqual(scene.forgotten, ['m']);
   });
 
-  test('says nothing against a younger life, and for no older one', () => {
+  test('does not block a later incarnation, and does not make an earlier one valid', () => {
     const scene = new ListedMembers();
     scene.directory.listed(SECOND);
     const old = scene.member();
@@ -340,14 +340,14 @@
     assertEnded(scene, old);
   });
 
-  test('is nothing where no member is known by the id', () => {
+  test('has no effect if no member is known by the id', () => {
     const scene = new ListedMembers();
     scene.directory.unreadable('m');
     scene.directory.unlisted('m');
     assert.deepEqual(scene.events, []);
   });
 
-  test('fills no group that is watched from then on', () => {
+  test('adds no member to a group that is watched later', () => {
     const scene = new ListedMembers([]);
     scene.directory.listed(FIRST);
     scene.directory.unreadable('m');
@@ -358,10 +358,10 @@
   });
 });
 
-describe('an older life that is listed after a younger one', () => {
+describe('an earlier incarnation that is listed after a later one', () => {
   const AFTER: readonly [string, (scene: ListedMembers) => void][] = [
     ['which is listed', () => undefined],
-    ['which leaves', (scene) => scene.directory.listed({ ...SECOND, isDraining: true })],
+    ['which is leaving', (scene) => scene.directory.listed({ ...SECOND, isDraining: true })],
     ['which is no longer listed', (scene) => scene.directory.unlisted('m')],
     [
       'which is a former member',
@@ -379,14 +379,14 @@
         scene.directory.listed(FIRST);
         scene.directory.listed(SECOND);
         prepare(scene);
-        const before = shown(scene);
+        const before = stateOfGroups(scene);
         const { length } = scene.events;
         scene.directory.listed({ ...FIRST, ...change });
-        assert.deepEqual(shown(scene), before);
+        assert.deepEqual(stateOfGroups(scene), before);
         assert.equal(scene.events.length, length);
       });
 
-  test('does not stand in the way of the younger one when that is listed again', () => {
+  test('does not prevent the later one from being listed again', () => {
     const scene = new ListedMembers();
     scene.directory.listed(SECOND);
     const member = scene.member();
@@ -396,7 +396,7 @@
     assert.equal(scene.logged('member_reborn').length, 0);
   });
 
-  test('is not what a group is filled with that is watched from then on', () => {
+  test('is not added to a group that is watched later', () => {
     const scene = new ListedMembers([]);
     scene.directory.listed(SECOND);
     scene.directory.listed(FIRST);
@@ -404,7 +404,7 @@
     assert.equal(scene.member().entry.bornMs, 2000);
   });
 
-  test('is not taken in either where nobody watches the group, until the younger one is long gone', () => {
+  test('is not added either where nobody watches the group, until the later one has long been unlisted', () => {
     const scene = new ListedMembers([]);
     scene.directory.listed(SECOND);
     scene.directory.unlisted('m');
@@ -419,12 +419,12 @@
 });
 
 /**
- * A store that comes back from a copy shows for a moment what members said some seconds ago, until they have written again. A member
- * that was leaving was given its whole time once more, and one that had left was given work again: requests reached members for longer
- * after they had said that they leave than is allowed. Evidence: on the code before, `leavingSinceMs` is cleared by the older entry.
+ * Guards against requests to members after their leave time. A store restored from a backup shows entries
+ * that are some seconds old until the members have updated them. Such an entry cleared `leavingSinceMs`, so
+ * that a leaving member got its full leave time again, and one that had left received requests again.
  */
-describe('an older entry after the directory was away', () => {
-  function away(scene: ListedMembers, ...listed: readonly MemberEntry[]): void {
+describe('an older entry after the directory was unavailable', () => {
+  function simulateOutage(scene: ListedMembers, ...listed: readonly MemberEntry[]): void {
     scene.directory.availability(false);
     for (const entry of listed) scene.directory.listed(entry);
     scene.directory.loaded();
@@ -435,7 +435,7 @@
     scene.directory.listed(FIRST);
     scene.directory.listed({ ...FIRST, isDraining: true });
     const { leavingSinceMs } = scene.member();
-    away(scene, FIRST);
+    simulateOutage(scene, FIRST);
     scene.pass(HEARTBEAT_MS);
     scene.directory.listed({ ...FIRST, isDraining: true });
     assert.equal(scene.member().leavingSinceMs, leavingSinceMs);
@@ -443,14 +443,14 @@
     assert.equal(scene.group().members.size, 0);
   });
 
-  test('gives a member that has left no work', () => {
+  test('sends no requests to a member that has left', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.directory.unlisted('m');
     scene.pass(2 * HEARTBEAT_MS);
     scene.pass(LEAVE_MS);
     assert.equal(scene.group().members.size, 0);
-    away(scene, FIRST);
+    simulateOutage(scene, FIRST);
     scene.pass(HEARTBEAT_MS);
     assert.equal(scene.group().members.size, 0);
     scene.directory.unlisted('m');
@@ -458,13 +458,13 @@
     assert.equal(scene.group().members.size, 0);
   });
 
-  test('counts once it still stands after its members have had time to write again', () => {
+  test('is applied if it still exists after the members have had time to update their entries', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.directory.unlisted('m');
     scene.pass(2 * HEARTBEAT_MS);
     scene.pass(LEAVE_MS);
-    away(scene, FIRST);
+    simulateOutage(scene, FIRST);
     scene.pass(5 * HEARTBEAT_MS);
     assert.equal(scene.member().isLeaving, false);
   });
--- a/src/topology/member-directory.ts
+++ b/src/topology/member-directory.ts
@@ -1,123 +1,132 @@
 /**
- * The members as the directory lists them: when one is given work, when one that leaves is given no more, and when an id goes
- * over from one life to the next.
+ * Tracks the members listed in the directory: when a member starts to receive requests, when a leaving member
+ * stops receiving them, and when a member id passes from one incarnation to the next.
  *
- * A directory that does not answer says nothing: entries that vanish meanwhile, or soon after, mean nothing.
+ * Entries that disappear while the directory is unavailable, or soon after, are not taken as removed.
  *
- * An entry with a younger start than the one known under its id is the end of one member and the arrival of another,
- * wherever and however it is listed. The life that ended is kept in mind for a while, since a commit may have been acknowledged
- * on its word alone. An entry with an older start is a late view, and changes nothing.
+ * An entry with a later start time than the known one under its id ends the known incarnation and adds a new
+ * member, whatever else the entry contains. The ended incarnation is retained for a while, because a commit
+ * may have been acknowledged only because that one received it. An entry with an earlier start time is
+ * outdated and changes nothing.
  *
  * @packageDocumentation
  */
-import { compareIncarnations, type Succession } from './incarnation.js';
+import { compareIncarnations, type IncarnationOrder } from './incarnation.js';
 import type { Member, MemberEntry, MemberGroup } from './member-group.js';
 
-/** Part of the time to leave after which a leaving member is given no work at all. */
-const LEAVE_SHARE = 0.75;
-/** Least part of that time that is kept for requests under way, in milliseconds. */
-const LEAVE_MARGIN_MS = 500;
-/** For how long a member whose entry is gone may still run, in milliseconds. */
-const FORMER_MS = 30_000;
-/** Time after the directory is back in which vanished entries mean nothing, in heartbeats. */
-const TRUST_HEARTBEATS = 4;
-/** Time for which an entry is gone before its member counts as leaving, in heartbeats. */
-const GONE_HEARTBEATS = 1.2;
-
-/** What the directory needs. */
+/** Share of the leave time during which a leaving member may still receive requests. */
+const LEAVE_SERVING_SHARE = 0.75;
+/** Minimum part of the leave time reserved for requests in progress, in milliseconds. */
+const MIN_LEAVE_MARGIN_MS = 500;
+/** For how long a member without an entry may still run, in milliseconds. */
+const FORMER_RETENTION_MS = 30_000;
+/** Time after the directory becomes available in which missing entries are ignored, in heartbeats. */
+const SETTLE_HEARTBEATS = 4;
+/** Time for which an entry may be missing before its member counts as leaving, in heartbeats. */
+const UNLISTED_GRACE_HEARTBEATS = 1.2;
+
+/** Settings and callbacks of the directory. */
 export interface MemberDirectoryOptions {
-  /** How long a member that leaves may still be given work, in milliseconds. */
+  /** Leave time: how long a leaving member may still be sent requests, in milliseconds. */
   readonly leaveMs: number;
-  /** Time between two signs of life of a member, in milliseconds. */
+  /** Interval between the heartbeats of a member, in milliseconds. */
   readonly heartbeatMs: number;
-  /** How much later than the directory itself this daemon may hear of a change, in milliseconds. */
+  /** Maximum delay with which this daemon learns of a change in the directory, in milliseconds. */
   lagMs(): number;
-  /** A watched group, or `null`. */
+  /** The group of that name if it is watched, or `null`. */
   group(name: string): MemberGroup | null;
-  /** A member that can be given work from now on. */
+  /** Creates a member that receives requests from now on. */
   create(entry: MemberEntry): Member;
-  /** A group's members have changed. */
+  /** The members of a group have changed. */
   changed(group: MemberGroup): void;
-  /** The leader of a group leaves, or is said to lead no longer. */
+  /** The leader of a group is leaving, has ended, or is reported to lead no longer. */
   leaderInDoubt(group: MemberGroup): void;
-  /** A member's life has ended: nothing that this daemon does for others over its connections goes on. */
+  /**
+   * An incarnation has ended: requests that this daemon runs for other daemons over its connections must
+   * stop.
+   */
   ended(member: Member): void;
-  /** The daemon's own connections to a member end. */
+  /** The daemon's control connections to a member have to be closed. */
   forgotten(memberId: string): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
 }
 
-/** What is known of an id. */
-interface Known {
-  /** That of its youngest life. */
+/** What is known of a member id. */
+interface KnownMember {
+  /** Entry of its latest incarnation. */
   entry: MemberEntry;
-  /** Since when that life has been known, in monotonic milliseconds; see {@link Member.knownSinceMs}. */
-  readonly sinceMs: number;
-  /** Since when no entry has stood under the id, in monotonic milliseconds; `null` while one does. */
+  /**
+   * Since when that incarnation has been known, in monotonic milliseconds; see {@link Member.knownSinceMs}.
+   */
+  readonly knownSinceMs: number;
+  /** Since when the id has had no entry, in monotonic milliseconds; `null` while it has one. */
   unlistedSinceMs: number | null;
-  /** False while what stands under the id is no entry. */
+  /** False while the value stored under the id cannot be parsed as an entry. */
   isReadable: boolean;
-  /** The life has left and must not be used, though its entry may still stand. */
+  /** True if the incarnation has left and must not be used, although its entry may still exist. */
   isRetired: boolean;
 }
 
-/** Why a member is given no more work. */
-type Departure = 'left' | 'unreadable' | 'reborn' | 'moved';
+/** Why a member no longer receives requests. */
+type RemovalReason = 'left' | 'unreadable' | 'reborn' | 'moved';
 
-/** Follows the directory. */
+/** Applies the contents of the directory to the watched groups. */
 export class MemberDirectory {
-  readonly #known = new Map<string, Known>();
-  /** Ids under which no entry stands, those first that were unlisted first. */
+  readonly #known = new Map<string, KnownMember>();
+  /** Ids without an entry, in the order in which they became unlisted. */
   readonly #unlisted = new Set<string>();
-  /** Ids whose entry says that a member which was leaving leaves no more, told while the directory may be behind. */
-  readonly #unsettled = new Set<string>();
+  /**
+   * Ids of leaving members whose entries say that they no longer leave, received while the directory may be
+   * outdated.
+   */
+  readonly #deferred = new Set<string>();
   #isLoaded = false;
   #isAvailable = false;
-  #trustedFromMs = Number.POSITIVE_INFINITY;
+  #settledFromMs = Number.POSITIVE_INFINITY;
 
   constructor(private readonly options: MemberDirectoryOptions) {}
 
-  /** True once it has been read whole. */
+  /** True once the directory has been read completely. */
   get isLoaded(): boolean {
     return this.#isLoaded;
   }
 
-  /** It has been read whole. */
+  /** The directory has been read completely. */
   loaded(): void {
     this.#isLoaded = true;
     this.availability(true);
   }
 
-  /** It answers, or has stopped to. */
+  /** The directory has become available or unavailable. */
   availability(isAvailable: boolean): void {
     if (isAvailable === this.#isAvailable) return;
     this.#isAvailable = isAvailable;
-    const trustMs = TRUST_HEARTBEATS * this.options.heartbeatMs;
-    this.#trustedFromMs = isAvailable ? this.options.now() + trustMs : Number.POSITIVE_INFINITY;
+    const settleMs = SETTLE_HEARTBEATS * this.options.heartbeatMs;
+    this.#settledFromMs = isAvailable ? this.options.now() + settleMs : Number.POSITIVE_INFINITY;
   }
 
-  /** It describes a member. */
-  listed(told: MemberEntry): void {
-    const known = this.#remembered(told.memberId);
+  /** The directory lists a member with this entry. */
+  listed(reported: MemberEntry): void {
+    const known = this.#findKnown(reported.memberId);
     if (known === null) {
-      this.#arrives(told);
+      this.#addIncarnation(reported);
       return;
     }
-    switch (successionOf(known.entry, told)) {
+    switch (compareEntries(known.entry, reported)) {
       case 'older':
         return;
       case 'younger':
-        this.#reborn(known.entry, told);
+        this.#replaceIncarnation(known.entry, reported);
         return;
       case 'same':
-        this.#stands(known);
-        known.entry = { ...told, bornMs: told.bornMs ?? known.entry.bornMs };
-        this.#place(known);
+        this.#markListed(known);
+        known.entry = { ...reported, bornMs: reported.bornMs ?? known.entry.bornMs };
+        this.#applyEntry(known);
     }
   }
 
-  /** It lists a member no longer. */
+  /** The directory no longer lists a member. */
   unlisted(memberId: string): void {
     const known = this.#known.get(memberId);
     if (known === undefined || known.unlistedSinceMs !== null) return;
@@ -127,14 +136,17 @@
     this.#unlisted.add(memberId);
     const member = this.#memberOf(known.entry);
     if (member !== null) member.missingSinceMs = now;
-    this.#forgetIds();
+    this.#discardUnlisted();
   }
 
-  /** What stands under an id that may have been a member's can't be read: it names no member to use until it can. */
+  /**
+   * The value stored under an id cannot be parsed; its member, if any, is not used until there is a readable
+   * entry.
+   */
   unreadable(memberId: string): void {
-    const known = this.#remembered(memberId);
+    const known = this.#findKnown(memberId);
     if (known === null) return;
-    this.#stands(known);
+    this.#markListed(known);
     known.isReadable = false;
     const member = this.#memberOf(known.entry);
     if (member !== null) member.missingSinceMs = null;
@@ -147,114 +159,120 @@
     this.options.changed(group);
   }
 
-  /** Fills a group that is watched from now on. */
+  /** Adds the listed members to a group that is watched from now on. */
   fill(group: MemberGroup): void {
     for (const known of this.#known.values())
-      if (known.entry.groupName === group.name && isListed(known)) this.#place(known);
+      if (known.entry.groupName === group.name && isListed(known)) this.#applyEntry(known);
   }
 
-  /** Looks who has left; to be called every some ten milliseconds. */
+  /** Removes members that have left; to be called at intervals of some tens of milliseconds. */
   check(group: MemberGroup): void {
     const now = this.options.now();
-    if (this.#isSettled) this.#placeUnsettled();
+    if (this.#isSettled) this.#applyDeferred();
     for (const member of [...group.members.values()]) this.#checkDeparture(group, member, now);
-    this.#forgetFormer(group, now);
+    this.#discardFormer(group, now);
   }
 
   /**
-   * False while the directory is away, and until its members have had time to write again: a directory that comes back from a copy
-   * shows older entries meanwhile, by which a member that leaves would be given its time anew.
+   * False while the directory is unavailable, and until the members have had time to update their entries. A
+   * directory restored from a backup contains older entries until then, which would give a leaving member its
+   * full leave time again.
    */
   get #isSettled(): boolean {
-    return this.options.now() >= this.#trustedFromMs;
+    return this.options.now() >= this.#settledFromMs;
   }
 
-  /** Takes at their word the entries that still stand. */
-  #placeUnsettled(): void {
-    for (const memberId of this.#unsettled) {
+  /** Applies the deferred entries that still exist. */
+  #applyDeferred(): void {
+    for (const memberId of this.#deferred) {
       const known = this.#known.get(memberId);
-      if (known !== undefined && isListed(known)) this.#place(known);
+      if (known !== undefined && isListed(known)) this.#applyEntry(known);
     }
-    this.#unsettled.clear();
+    this.#deferred.clear();
   }
 
-  /** What is known of an id; `null` when that was long ago. */
-  #remembered(memberId: string): Known | null {
+  /**
+   * What is known of an id, or `null` if it is unknown or has been unlisted for longer than the retention
+   * time.
+   */
+  #findKnown(memberId: string): KnownMember | null {
     const known = this.#known.get(memberId);
     if (known === undefined) return null;
     const { unlistedSinceMs, entry } = known;
-    const isRecent = unlistedSinceMs === null || this.options.now() - unlistedSinceMs < FORMER_MS;
+    const isRecent = unlistedSinceMs === null || this.options.now() - unlistedSinceMs < FORMER_RETENTION_MS;
     return isRecent || this.#memberOf(entry) !== null ? known : null;
   }
 
-  /** The member that lives the life of an entry, whether it is given work or not. */
+  /** The current or former member of an entry's incarnation, or `null`. */
   #memberOf({ groupName, memberId }: MemberEntry): Member | null {
     const group = this.options.group(groupName);
     return group?.members.get(memberId) ?? group?.formerOf(memberId) ?? null;
   }
 
-  /** Forgets ids that were unlisted long ago. */
-  #forgetIds(): void {
+  /** Discards ids that have been unlisted for longer than the retention time. */
+  #discardUnlisted(): void {
     for (const memberId of this.#unlisted) {
-      if (this.#remembered(memberId) !== null) return;
+      if (this.#findKnown(memberId) !== null) return;
       this.#unlisted.delete(memberId);
       this.#known.delete(memberId);
     }
   }
 
-  /** An entry stands under an id. */
-  #stands(known: Known): void {
+  #markListed(known: KnownMember): void {
     known.unlistedSinceMs = null;
     known.isReadable = true;
     this.#unlisted.delete(known.entry.memberId);
   }
 
-  #arrives(entry: MemberEntry): void {
-    const sinceMs = this.#isLoaded ? this.options.now() : Number.NEGATIVE_INFINITY;
-    const known = { entry, sinceMs, unlistedSinceMs: null, isReadable: true, isRetired: false };
+  #addIncarnation(entry: MemberEntry): void {
+    const knownSinceMs = this.#isLoaded ? this.options.now() : Number.NEGATIVE_INFINITY;
+    const known = { entry, knownSinceMs, unlistedSinceMs: null, isReadable: true, isRetired: false };
     this.#known.set(entry.memberId, known);
     this.#unlisted.delete(entry.memberId);
-    this.#place(known);
+    this.#applyEntry(known);
   }
 
-  /** Another life goes by an id. */
-  #reborn(before: MemberEntry, entry: MemberEntry): void {
+  /** An id has passed to another incarnation. */
+  #replaceIncarnation(before: MemberEntry, entry: MemberEntry): void {
     const { groupName, memberId, bornMs } = entry;
     const group = this.options.group(before.groupName);
-    if (group !== null) this.#end(group, memberId);
+    if (group !== null) this.#endIncarnation(group, memberId);
     if (group !== null || this.options.group(groupName) !== null) {
       const details = { group: groupName, member: memberId, born: bornMs, before: before.bornMs };
       this.options.log('member_reborn', details);
     }
-    this.#arrives(entry);
+    this.#addIncarnation(entry);
     if (group !== null && group.name !== groupName) this.options.changed(group);
   }
 
-  /** The life that goes by an id in a group is over, whether it is given work or not. */
-  #end(group: MemberGroup, memberId: string): void {
+  /** Ends the incarnation that has an id in a group, whether it receives requests or not. */
+  #endIncarnation(group: MemberGroup, memberId: string): void {
     const used = group.members.get(memberId);
     const member = used ?? group.formerOf(memberId);
     if (member !== null) {
       group.members.delete(memberId);
       group.keepFormer(member);
       member.missingSinceMs = this.options.now();
-      this.#cutOff(member);
+      this.#closeConnections(member);
     }
-    if (used !== undefined) this.#logOut(group, used, 'reborn');
+    if (used !== undefined) this.#logRemoved(group, used, 'reborn');
     if (group.evidence.leader?.memberId !== memberId) return;
     group.evidence.loseLeader();
     this.options.leaderInDoubt(group);
   }
 
-  /** Ends everything that goes on with a member: whoever answers for it is another. */
-  #cutOff(member: Member): void {
+  /**
+   * Closes all connections to a member whose incarnation has ended; any further answer would come from
+   * another one.
+   */
+  #closeConnections(member: Member): void {
     member.hasEnded = true;
     this.options.ended(member);
     member.pool.end();
     this.options.forgotten(member.entry.memberId);
   }
 
-  #place(known: Known): void {
+  #applyEntry(known: KnownMember): void {
     const { entry } = known;
     const group = this.options.group(entry.groupName);
     if (group === null) return;
@@ -264,50 +282,53 @@
     if (member === null) this.#add(group, known);
     else if (!isAtSameAddress(member.entry, entry)) this.#move(group, member, known);
     else if (isUsed) this.#update(group, member, entry);
-    else if (!this.#isSettled && member.isLeaving) this.#unsettled.add(entry.memberId);
-    else this.#takeBack(group, member, entry);
-    if (entry.isDraining) this.#leaves(group, group.members.get(entry.memberId), 'draining');
+    else if (!this.#isSettled && member.isLeaving) this.#deferred.add(entry.memberId);
+    else this.#readmit(group, member, entry);
+    if (entry.isDraining) this.#markLeaving(group, group.members.get(entry.memberId), 'draining');
     this.options.changed(group);
   }
 
-  #add(group: MemberGroup, { entry, sinceMs }: Known): void {
+  #add(group: MemberGroup, { entry, knownSinceMs }: KnownMember): void {
     const member = this.options.create(entry);
-    member.knownSinceMs = sinceMs;
+    member.knownSinceMs = knownSinceMs;
     group.members.set(entry.memberId, member);
-    this.#logIn(group, entry);
+    this.#logAdded(group, entry);
   }
 
-  /** The life of a former member is given work again. If it still drains, it has no more time for it than before. */
-  #takeBack(group: MemberGroup, member: Member, entry: MemberEntry): void {
+  /** A former member receives requests again. If it is still draining, its leave time is not extended. */
+  #readmit(group: MemberGroup, member: Member, entry: MemberEntry): void {
     group.dropFormer(member);
     member.pool.own.reopen();
     group.members.set(entry.memberId, member);
-    this.#logIn(group, entry);
+    this.#logAdded(group, entry);
     this.#update(group, member, entry);
   }
 
   #update(group: MemberGroup, member: Member, entry: MemberEntry): void {
     member.missingSinceMs = null;
-    if (member.entry.saysPrimary !== entry.saysPrimary) this.#roleChanged(group, entry);
+    if (member.entry.saysPrimary !== entry.saysPrimary) this.#handleRoleChange(group, entry);
     member.entry = entry;
     if (entry.isDraining || !member.isLeaving) return;
     if (this.#isSettled) member.leavingSinceMs = null;
-    else this.#unsettled.add(entry.memberId);
+    else this.#deferred.add(entry.memberId);
   }
 
-  /** The same life is reached elsewhere: connections are bound to an address. */
-  #move(group: MemberGroup, member: Member, known: Known): void {
+  /**
+   * Replaces a member whose incarnation has moved to another address, because connections are bound to an
+   * address.
+   */
+  #move(group: MemberGroup, member: Member, known: KnownMember): void {
     const { entry } = known;
-    this.#cutOff(member);
+    this.#closeConnections(member);
     group.dropFormer(member);
-    if (group.members.delete(entry.memberId)) this.#logOut(group, member, 'moved');
+    if (group.members.delete(entry.memberId)) this.#logRemoved(group, member, 'moved');
     this.#add(group, known);
     const moved = group.members.get(entry.memberId);
     if (moved !== undefined && entry.isDraining) moved.leavingSinceMs = member.leavingSinceMs;
-    if (member.entry.saysPrimary !== entry.saysPrimary) this.#roleChanged(group, entry);
+    if (member.entry.saysPrimary !== entry.saysPrimary) this.#handleRoleChange(group, entry);
   }
 
-  #roleChanged(group: MemberGroup, { memberId, bornMs, saysPrimary }: MemberEntry): void {
+  #handleRoleChange(group: MemberGroup, { memberId, bornMs, saysPrimary }: MemberEntry): void {
     const isLeader = group.evidence.leader?.memberId === memberId;
     const details = { group: group.name, member: memberId, born: bornMs, primary: saysPrimary };
     this.options.log('member_role', details);
@@ -316,7 +337,7 @@
     this.options.leaderInDoubt(group);
   }
 
-  #leaves(group: MemberGroup, member: Member | undefined, reason: string): void {
+  #markLeaving(group: MemberGroup, member: Member | undefined, reason: string): void {
     if (member === undefined || member.isLeaving) return;
     member.leavingSinceMs = this.options.now();
     const { memberId, bornMs } = member.entry;
@@ -325,70 +346,73 @@
   }
 
   #checkDeparture(group: MemberGroup, member: Member, now: number): void {
-    const isGone =
+    const isUnlistedTooLong =
       member.missingSinceMs !== null &&
       this.#isSettled &&
-      now - member.missingSinceMs > GONE_HEARTBEATS * this.options.heartbeatMs;
-    if (isGone) this.#leaves(group, member, 'unlisted');
-    if (member.leavingSinceMs === null || now - member.leavingSinceMs < this.#serveLeavingMs()) return;
+      now - member.missingSinceMs > UNLISTED_GRACE_HEARTBEATS * this.options.heartbeatMs;
+    if (isUnlistedTooLong) this.#markLeaving(group, member, 'unlisted');
+    if (member.leavingSinceMs === null || now - member.leavingSinceMs < this.#leavingServiceMs()) return;
     const known = this.#known.get(member.entry.memberId);
     if (known !== undefined && isListed(known)) known.isRetired = true;
     this.#retire(group, member, 'left');
   }
 
-  #retire(group: MemberGroup, member: Member, reason: Departure): void {
+  #retire(group: MemberGroup, member: Member, reason: RemovalReason): void {
     const { memberId } = member.entry;
     group.members.delete(memberId);
     group.keepFormer(member);
     member.pool.own.close();
     if (group.evidence.leader?.memberId === memberId) group.evidence.loseLeader();
-    this.#logOut(group, member, reason);
+    this.#logRemoved(group, member, reason);
   }
 
-  #logIn(group: MemberGroup, { memberId, bornMs, zone, saysPrimary }: MemberEntry): void {
+  #logAdded(group: MemberGroup, { memberId, bornMs, zone, saysPrimary }: MemberEntry): void {
     const details = { group: group.name, member: memberId, born: bornMs, zone, primary: saysPrimary };
     this.options.log('member_in', details);
   }
 
-  #logOut(group: MemberGroup, { entry }: Member, reason: Departure): void {
+  #logRemoved(group: MemberGroup, { entry }: Member, reason: RemovalReason): void {
     const { memberId, bornMs } = entry;
     this.options.log('member_out', { group: group.name, member: memberId, born: bornMs, reason });
   }
 
-  /** For how long a leaving member is given work since this daemon heard of it, in milliseconds. */
-  #serveLeavingMs(): number {
+  /**
+   * For how long a leaving member receives requests, from when this daemon learned that it leaves, in
+   * milliseconds.
+   */
+  #leavingServiceMs(): number {
     const { leaveMs } = this.options;
-    return Math.min(leaveMs * LEAVE_SHARE, leaveMs - LEAVE_MARGIN_MS - this.options.lagMs());
+    return Math.min(leaveMs * LEAVE_SERVING_SHARE, leaveMs - MIN_LEAVE_MARGIN_MS - this.options.lagMs());
   }
 
-  /** A former member whose entry has been gone for long, or that ended long ago, is kept in mind no longer. */
-  #forgetFormer(group: MemberGroup, now: number): void {
+  /** Discards former members that have been unlisted, or have ended, for longer than the retention time. */
+  #discardFormer(group: MemberGroup, now: number): void {
     for (const [key, { entry, missingSinceMs, hasEnded }] of group.former) {
-      if (missingSinceMs === null || now - missingSinceMs < FORMER_MS) continue;
+      if (missingSinceMs === null || now - missingSinceMs < FORMER_RETENTION_MS) continue;
       group.former.delete(key);
-      // What goes by the id of a life that ended is the next one's.
+      // After an incarnation has ended, the control connections under its id belong to the next one.
       if (!hasEnded) this.options.forgotten(entry.memberId);
     }
   }
 }
 
-/** True while an entry that can be read stands under an id. */
-function isListed({ unlistedSinceMs, isReadable }: Known): boolean {
+/** True while the id has a readable entry. */
+function isListed({ unlistedSinceMs, isReadable }: KnownMember): boolean {
   return unlistedSinceMs === null && isReadable;
 }
 
-function isAtSameAddress(known: MemberEntry, told: MemberEntry): boolean {
-  return known.host === told.host && known.port === told.port;
+function isAtSameAddress(known: MemberEntry, reported: MemberEntry): boolean {
+  return known.host === reported.host && known.port === reported.port;
 }
 
 /**
- * How an entry stands to the one that is known. A process stays in its group, whose log it holds, and where an entry does not say
- * when it started, also at its address.
+ * Compares the incarnations of a reported entry and the known one. A process never changes its group, whose
+ * log it holds. If an entry has no start time, a changed address also means another process.
  */
-function successionOf(known: MemberEntry, told: MemberEntry): Succession {
-  const succession = compareIncarnations(known, told);
-  if (succession !== 'same') return succession;
-  if (known.groupName !== told.groupName) return 'younger';
-  const isCertain = known.bornMs !== null && told.bornMs !== null;
-  return isCertain || isAtSameAddress(known, told) ? 'same' : 'younger';
+function compareEntries(known: MemberEntry, reported: MemberEntry): IncarnationOrder {
+  const order = compareIncarnations(known, reported);
+  if (order !== 'same') return order;
+  if (known.groupName !== reported.groupName) return 'younger';
+  const isCertain = known.bornMs !== null && reported.bornMs !== null;
+  return isCertain || isAtSameAddress(known, reported) ? 'same' : 'younger';
 }
--- a/src/topology/member-lives.property.test.ts
+++ b/src/topology/member-lives.property.test.ts
@@ -1,6 +1,6 @@
 /**
- * Lives of members under random sequences of entries, listings, new starts, late views and unreadable entries, against a
- * model that knows only which life is the youngest that was told.
+ * Incarnations of members under random sequences of entries, listings, restarts, outdated entries and
+ * unreadable ones, compared with a model that knows only the latest incarnation reported for each id.
  *
  * @packageDocumentation
  */
@@ -11,19 +11,19 @@
 import { formatIncarnation } from './incarnation.js';
 import type { Member, MemberEntry } from './member-group.js';
 
-/** Sequences in an ordinary run; more with `LIVES_RUNS`. */
+/** Number of sequences; can be raised with `LIVES_RUNS`. */
 const RUNS = Number(process.env['LIVES_RUNS'] ?? 400);
 const SEED = Number(process.env['LIVES_SEED'] ?? 20_261_203);
-const LONGEST = 40;
-/** For how long a life that has ended, or an id that was unlisted, is kept in mind, in milliseconds. */
+const MAX_STEPS = 40;
+/** For how long an ended incarnation, or an unlisted id, is retained, in milliseconds. */
 const FORMER_MS = 30_000;
-/** Time after the directory is back for which an older entry may stand in it, in milliseconds. */
+/** Time after the directory becomes available in which its entries may be outdated, in milliseconds. */
 const SETTLE_MS = 4 * HEARTBEAT_MS;
 const IDS = ['a', 'b', 'c'];
 const GROUPS = ['g', 'other'];
 
-/** How an entry differs from others of its life. */
-interface Looks {
+/** Properties in which entries of one incarnation may differ. */
+interface EntryVariation {
   readonly isDraining: boolean;
   readonly saysPrimary: boolean;
   readonly saysStart: boolean;
@@ -36,16 +36,16 @@
       readonly id: string;
       readonly group: string;
       readonly port: number;
-      readonly looks: Looks;
+      readonly variation: EntryVariation;
     }
-  | { readonly kind: 'rewrite'; readonly id: string; readonly looks: Looks }
-  | { readonly kind: 'late'; readonly id: string; readonly age: number; readonly looks: Looks }
+  | { readonly kind: 'rewrite'; readonly id: string; readonly variation: EntryVariation }
+  | { readonly kind: 'late'; readonly id: string; readonly age: number; readonly variation: EntryVariation }
   | { readonly kind: 'unlist' | 'unreadable' | 'lead' | 'use'; readonly id: string }
   | { readonly kind: 'listing'; readonly shown: readonly boolean[] }
   | { readonly kind: 'store'; readonly isAvailable: boolean }
   | { readonly kind: 'pass'; readonly ms: number };
 
-const looks: fc.Arbitrary<Looks> = fc.record({
+const variation: fc.Arbitrary<EntryVariation> = fc.record({
   isDraining: fc.boolean(),
   saysPrimary: fc.boolean(),
   saysStart: fc.boolean(),
@@ -59,10 +59,10 @@
     id,
     group: fc.constantFrom(...GROUPS),
     port: fc.integer({ min: 1, max: 2 }),
-    looks,
+    variation,
   }),
-  fc.record({ kind: fc.constant('rewrite' as const), id, looks }),
-  fc.record({ kind: fc.constant('late' as const), id, age: fc.integer({ min: 1, max: 5 }), looks }),
+  fc.record({ kind: fc.constant('rewrite' as const), id, variation }),
+  fc.record({ kind: fc.constant('late' as const), id, age: fc.integer({ min: 1, max: 5 }), variation }),
   fc.record({ kind: fc.constantFrom('unlist', 'unreadable', 'lead', 'use'), id }),
   fc.record({
     kind: fc.constant('listing' as const),
@@ -72,35 +72,38 @@
   fc.record({ kind: fc.constant('pass' as const), ms: fc.constantFrom(50, 700, 3200, FORMER_MS) }),
 );
 
-/** What a life has for good. */
-interface Life {
+/** Properties that are fixed for an incarnation. */
+interface ModelIncarnation {
   readonly memberId: string;
   readonly bornMs: number;
   readonly groupName: string;
   readonly port: number;
 }
 
-/** What the directory was told last of an id. */
-interface Told {
-  readonly life: Life;
+/** The last entry reported to the directory under an id. */
+interface LastReport {
+  readonly incarnation: ModelIncarnation;
   readonly entry: MemberEntry;
   goneSinceMs: number | null;
   isReadable: boolean;
 }
 
-/** The platform, and what the directory was told of it. */
-class Play {
+/** Models the platform, and what was reported of it to the directory. */
+class ModelRun {
   readonly scene = new ListedMembers(GROUPS);
-  /** All lives that were ever started, by id, oldest first. */
-  readonly #lives = new Map<string, Life[]>();
-  /** The youngest life that was told of an id, and since when no entry has stood under it. */
-  readonly #told = new Map<string, Told>();
+  /** All incarnations that were ever started, by id, in order of start. */
+  readonly #incarnations = new Map<string, ModelIncarnation[]>();
+  /** Latest incarnation reported under an id, and since when the id has had no entry. */
+  readonly #lastReports = new Map<string, LastReport>();
   readonly #endedAtMs = new Map<Member, number>();
-  readonly #lifeOf = new Map<Member, string>();
-  /** Ids whose youngest life was given no more work though its entry stands. */
+  readonly #nameOf = new Map<Member, string>();
+  /** Ids whose latest incarnation was retired although its entry still exists. */
   readonly #retired = new Set<string>();
-  /** Ids that left, or were leaving, and are listed again before the directory has settled: their word is awaited until then. */
-  readonly #awaited = new Set<string>();
+  /**
+   * Ids that had left, or were leaving, and are listed again before the directory has settled; their entries
+   * are applied only then.
+   */
+  readonly #deferredIds = new Set<string>();
   #settledFromMs = 0;
   #isAvailable = true;
   #clock = 1000;
@@ -118,13 +121,13 @@
       case 'start':
         this.#clock += 10;
         this.#start({ memberId: next.id, bornMs: this.#clock, groupName: next.group, port: next.port });
-        this.#tell(this.#lives.get(next.id)?.at(-1), next.looks);
+        this.#list(this.#incarnations.get(next.id)?.at(-1), next.variation);
         return;
       case 'rewrite':
-        this.#tell(this.#told.get(next.id)?.life, next.looks);
+        this.#list(this.#lastReports.get(next.id)?.incarnation, next.variation);
         return;
       case 'late':
-        this.#tellLate(next.id, next.age, next.looks);
+        this.#listOutdated(next.id, next.age, next.variation);
         return;
       case 'unlist':
         this.#unlist(next.id);
@@ -157,9 +160,9 @@
   #pass(ms: number): void {
     const used = IDS.filter((memberId) => this.#isUsed(memberId));
     this.scene.pass(ms);
-    this.#checkAwaited();
+    this.#checkDeferred();
     for (const memberId of used) {
-      const isListed = this.#told.get(memberId)?.goneSinceMs === null;
+      const isListed = this.#lastReports.get(memberId)?.goneSinceMs === null;
       if (isListed && !this.#isUsed(memberId)) this.#retired.add(memberId);
     }
   }
@@ -174,21 +177,21 @@
     return this.scene.now >= this.#settledFromMs;
   }
 
-  /** Once the directory has settled, what is listed is used as at other times. */
-  #checkAwaited(): void {
+  /** Once the directory has settled, listed members have to be in use again. */
+  #checkDeferred(): void {
     if (!this.#isSettled) return;
-    for (const memberId of this.#awaited) {
-      const told = this.#told.get(memberId);
-      if (told === undefined || told.goneSinceMs !== null || !told.isReadable) continue;
-      // One that still drains has no more time than before, and is not used again.
-      if (told.entry.isDraining && !this.#isUsed(memberId)) this.#retired.add(memberId);
+    for (const memberId of this.#deferredIds) {
+      const report = this.#lastReports.get(memberId);
+      if (report === undefined || report.goneSinceMs !== null || !report.isReadable) continue;
+      // The leave time of a member that is still draining is not extended, so it is not used again.
+      if (report.entry.isDraining && !this.#isUsed(memberId)) this.#retired.add(memberId);
       const isToBeUsed = !this.#retired.has(memberId);
-      assert.equal(this.#isUsed(memberId), isToBeUsed, 'one that is still listed is used');
+      assert.equal(this.#isUsed(memberId), isToBeUsed, 'a member that is still listed is used');
     }
-    this.#awaited.clear();
+    this.#deferredIds.clear();
   }
 
-  /** True while a member that is not used has left, as far as is known. */
+  /** True if the id has a former member that was leaving and has not ended. */
   #hasLeft(memberId: string): boolean {
     const members = [...this.scene.groups.values()].flatMap(({ former }) => [...former.values()]);
     return members.some(
@@ -200,78 +203,81 @@
     return [...this.scene.groups.values()].some(({ members }) => members.has(memberId));
   }
 
-  #start(life: Life): void {
-    const lives = this.#lives.get(life.memberId) ?? [];
-    this.#lives.set(life.memberId, [...lives, life]);
+  #start(incarnation: ModelIncarnation): void {
+    const incarnations = this.#incarnations.get(incarnation.memberId) ?? [];
+    this.#incarnations.set(incarnation.memberId, [...incarnations, incarnation]);
   }
 
-  /** The directory is told of a life that is not older than what it remembers. */
-  #tell(life: Life | undefined, { saysStart, ...rest }: Looks): void {
-    if (life === undefined) return;
-    const { memberId } = life;
-    const before = this.#told.get(memberId);
-    const isKnown = before !== undefined && before.life === life && this.#remembers(memberId);
-    const entry = entryOf({ ...life, ...rest });
+  /** Lists an incarnation that is not earlier than the one the directory knows. */
+  #list(incarnation: ModelIncarnation | undefined, { saysStart, ...rest }: EntryVariation): void {
+    if (incarnation === undefined) return;
+    const { memberId } = incarnation;
+    const before = this.#lastReports.get(memberId);
+    const isKnown = before !== undefined && before.incarnation === incarnation && this.#retains(memberId);
+    const entry = entryOf({ ...incarnation, ...rest });
     const led = this.#ledBy(memberId);
-    const isAwaited = !this.#isSettled && this.#hasLeft(memberId);
+    const isDeferred = !this.#isSettled && this.#hasLeft(memberId);
     this.scene.directory.listed(isKnown && !saysStart ? { ...entry, bornMs: null } : entry);
-    this.#told.set(memberId, { life, entry, goneSinceMs: null, isReadable: true });
-    if (before !== undefined && before.life === life) {
-      if (isAwaited) this.#awaited.add(memberId);
-      const isToBeUsed = !this.#retired.has(memberId) && !isAwaited;
-      assert.equal(this.#isUsed(memberId), isToBeUsed, 'one that is listed is used');
+    this.#lastReports.set(memberId, { incarnation, entry, goneSinceMs: null, isReadable: true });
+    if (before !== undefined && before.incarnation === incarnation) {
+      if (isDeferred) this.#deferredIds.add(memberId);
+      const isToBeUsed = !this.#retired.has(memberId) && !isDeferred;
+      assert.equal(this.#isUsed(memberId), isToBeUsed, 'a listed member is used');
       return;
     }
     this.#retired.delete(memberId);
-    assert.ok(this.#isUsed(memberId), 'a new life is used');
-    if (this.#remembers(memberId))
-      for (const group of led) assert.notEqual(group.evidence.leader?.memberId, memberId, 'its lead ended');
+    assert.ok(this.#isUsed(memberId), 'a new incarnation is used');
+    if (this.#retains(memberId))
+      for (const group of led)
+        assert.notEqual(group.evidence.leader?.memberId, memberId, 'an ended incarnation does not lead');
   }
 
-  /** An entry of a life that is not the youngest. */
-  #tellLate(memberId: string, age: number, { isDraining, saysPrimary, slots }: Looks): void {
-    const lives = this.#lives.get(memberId) ?? [];
-    const told = this.#told.get(memberId);
-    const older = lives.filter(({ bornMs }) => told !== undefined && bornMs < told.life.bornMs).at(-age);
-    if (older === undefined || !this.#remembers(memberId)) return;
-    const before = this.#shown();
+  /** Lists an incarnation that is not the latest. */
+  #listOutdated(memberId: string, age: number, { isDraining, saysPrimary, slots }: EntryVariation): void {
+    const incarnations = this.#incarnations.get(memberId) ?? [];
+    const report = this.#lastReports.get(memberId);
+    const older = incarnations
+      .filter(({ bornMs }) => report !== undefined && bornMs < report.incarnation.bornMs)
+      .at(-age);
+    if (older === undefined || !this.#retains(memberId)) return;
+    const before = this.#state();
     this.scene.directory.listed(entryOf({ ...older, isDraining, saysPrimary, slots }));
-    assert.deepEqual(this.#shown(), before, 'a late view changes nothing');
+    assert.deepEqual(this.#state(), before, 'an outdated entry changes nothing');
   }
 
   #unlist(memberId: string): void {
-    const told = this.#told.get(memberId);
+    const report = this.#lastReports.get(memberId);
     this.scene.directory.unlisted(memberId);
-    if (told === undefined) return;
-    told.goneSinceMs ??= this.scene.now;
+    if (report === undefined) return;
+    report.goneSinceMs ??= this.scene.now;
     this.#retired.delete(memberId);
   }
 
   #makeUnreadable(memberId: string): void {
-    const told = this.#told.get(memberId);
+    const report = this.#lastReports.get(memberId);
     this.scene.directory.unreadable(memberId);
-    if (told === undefined || !this.#remembers(memberId)) return;
-    told.goneSinceMs = null;
-    told.isReadable = false;
-    assert.ok(!this.#isUsed(memberId), 'what cannot be read names no member to use');
+    if (report === undefined || !this.#retains(memberId)) return;
+    report.goneSinceMs = null;
+    report.isReadable = false;
+    assert.ok(!this.#isUsed(memberId), 'a member with an unreadable entry is not used');
   }
 
-  /** The listing is read anew: what it does not show is gone, the rest is told as it is. */
+  /** Replays the listing: ids that are not shown become unlisted, the others are listed unchanged. */
   #listAgain(memberId: string, isShown: boolean): void {
-    const told = this.#told.get(memberId);
-    if (told === undefined) return;
+    const report = this.#lastReports.get(memberId);
+    if (report === undefined) return;
     if (!isShown) this.#unlist(memberId);
-    else if (told.goneSinceMs === null) this.#listUnchanged(memberId, told);
+    else if (report.goneSinceMs === null) this.#listUnchanged(memberId, report);
   }
 
-  #listUnchanged(memberId: string, told: Told): void {
-    if (!this.#isSettled && this.#hasLeft(memberId)) this.#awaited.add(memberId);
-    told.isReadable = true;
-    this.scene.directory.listed(told.entry);
+  #listUnchanged(memberId: string, report: LastReport): void {
+    if (!this.#isSettled && this.#hasLeft(memberId)) this.#deferredIds.add(memberId);
+    report.isReadable = true;
+    this.scene.directory.listed(report.entry);
   }
 
-  #remembers(memberId: string): boolean {
-    const since = this.#told.get(memberId)?.goneSinceMs ?? null;
+  #retains(memberId: string): boolean {
+    const since = this.#lastReports.get(memberId)?.goneSinceMs ?? null;
     return since === null || this.scene.now - since < FORMER_MS;
   }
 
@@ -282,46 +288,48 @@
   #check(): void {
     for (const group of this.scene.groups.values())
       for (const [memberId, member] of group.members) this.#checkUsed(group.name, memberId, member);
-    for (const member of this.scene.created) this.#checkLife(member);
+    for (const member of this.scene.created) this.#checkIncarnation(member);
     for (const memberId of IDS) this.#checkId(memberId);
   }
 
-  /** A member that is used lives the youngest life, where that is reached. */
+  /** A member in use is the latest incarnation of its id, at its current address. */
   #checkUsed(groupName: string, memberId: string, member: Member): void {
-    const life = this.#told.get(memberId)?.life;
+    const incarnation = this.#lastReports.get(memberId)?.incarnation;
     const { bornMs, port } = member.entry;
-    assert.deepEqual({ memberId, bornMs, groupName, port }, life);
+    assert.deepEqual({ memberId, bornMs, groupName, port }, incarnation);
     assert.equal(member.hasEnded, false);
   }
 
-  /** A member lives one life only; of one that has ended nothing goes on, and it is kept in mind for its time. */
-  #checkLife(member: Member): void {
+  /**
+   * A member is one incarnation only; an ended one has no connections and is retained for the retention time.
+   */
+  #checkIncarnation(member: Member): void {
     const name = formatIncarnation(member.entry);
-    const lived = this.#lifeOf.get(member);
-    assert.equal(name, lived ?? name);
-    this.#lifeOf.set(member, name);
+    const previousName = this.#nameOf.get(member);
+    assert.equal(name, previousName ?? name);
+    this.#nameOf.set(member, name);
     if (!member.hasEnded) return;
     const { now } = this.scene;
     const endedAtMs = this.#endedAtMs.get(member) ?? now;
     this.#endedAtMs.set(member, endedAtMs);
-    assert.equal(member.pool.own.size, 0, 'no connection of an ended life');
+    assert.equal(member.pool.own.size, 0, 'no connection of an ended incarnation');
     const isKept = this.scene.group(member.entry.groupName).former.get(name) === member;
     assert.equal(isKept, now - endedAtMs < FORMER_MS, `${name} ${now - endedAtMs} ms after its end`);
   }
 
-  /** One life of an id at a time; all others that are in anyone's mind have ended. */
+  /** At most one incarnation of an id is alive; all other retained ones have ended. */
   #checkId(memberId: string): void {
     const members = [...this.scene.groups.values()].flatMap(({ members: used, former }) => [
       ...used.values(),
       ...former.values(),
     ]);
     const living = members.filter(({ entry, hasEnded }) => entry.memberId === memberId && !hasEnded);
-    assert.ok(living.length <= 1, `${living.length} lives of ${memberId}`);
-    const told = this.#told.get(memberId);
-    for (const { entry } of living) assert.equal(entry.bornMs, told?.life.bornMs);
+    assert.ok(living.length <= 1, `${living.length} live incarnations of ${memberId}`);
+    const report = this.#lastReports.get(memberId);
+    for (const { entry } of living) assert.equal(entry.bornMs, report?.incarnation.bornMs);
   }
 
-  #shown(): unknown {
+  #state(): unknown {
     const { scene } = this;
     return {
       groups: [...scene.groups.values()].map(({ members, former, evidence }) => ({
@@ -329,7 +337,7 @@
         former: [...former].map(([key, member]) => [key, stateOf(member)]),
         leader: evidence.leader,
       })),
-      told: [scene.created.length, scene.events.length, scene.forgotten.length, scene.doubted.length],
+      counts: [scene.created.length, scene.events.length, scene.forgotten.length, scene.doubted.length],
     };
   }
 }
@@ -340,7 +348,9 @@
 
 test('an id is one living member at most, that of its youngest life, and nothing of an earlier one goes on', async () => {
   await fc.assert(
-    fc.asyncProperty(fc.array(step, { maxLength: LONGEST, size: 'max' }), (steps) => new Play().run(steps)),
+    fc.asyncProperty(fc.array(step, { maxLength: MAX_STEPS, size: 'max' }), (steps) =>
+      new ModelRun().run(steps),
+    ),
     { numRuns: RUNS, seed: SEED },
   );
 });
