--- a/src/cluster/daemon-ends.test.ts
+++ b/src/cluster/daemon-ends.test.ts
@@ -50,7 +50,7 @@
 test('an absence is reported as ages, and converted to the shortest interval that the round trip allows', () => {
   const ends = new AbsenceTracker();
   ends.merge(ADDRESS, { sinceMs: 1000, lastMs: 3000 });
-  const [told] = ends.report(4000);
-  assert.deepEqual(told, { address: ADDRESS, sinceAgoMs: 3000, lastAgoMs: 1000 });
-  assert.deepEqual(toLocalAbsence(told, 50_000, 50_200), { sinceMs: 47_200, lastMs: 49_000 });
+  const [reported] = ends.report(4000);
+  assert.deepEqual(reported, { address: ADDRESS, sinceAgoMs: 3000, lastAgoMs: 1000 });
+  assert.deepEqual(toLocalAbsence(reported, 50_000, 50_200), { sinceMs: 47_200, lastMs: 49_000 });
 });
--- a/src/topology/member-directory.test.ts
+++ b/src/topology/member-directory.test.ts
@@ -206,10 +206,10 @@
     scene.directory.listed({ ...SECOND, saysPrimary: true, isDraining: true });
     scene.pass(LEAVE_MS);
     assert.deepEqual(scene.logged('member_reborn'), [{ group: 'g', member: 'm', born: 2000, before: 1000 }]);
-    const lives = ['member_in', 'member_out', 'member_role', 'member_leaves'].map((event) =>
+    const startTimes = ['member_in', 'member_out', 'member_role', 'member_leaves'].map((event) =>
       scene.logged(event).map(({ born }) => born),
     );
-    assert.deepEqual(lives, [[1000, 2000], [1000, 2000], [2000], [2000]]);
+    assert.deepEqual(startTimes, [[1000, 2000], [1000, 2000], [2000], [2000]]);
   });
 });
 
