--- a/src/gateway/assign-gateways.test.ts
+++ b/src/gateway/assign-gateways.test.ts
@@ -1,5 +1,5 @@
 /**
- * Who connects to a member, and who asks witnesses for all.
+ * Assignment of connections to daemons, choice of delegates, and the daemon directory.
  *
  * @packageDocumentation
  */
@@ -23,12 +23,12 @@
 }
 
 describe('the connections of a member', () => {
-  test('are shared by all daemons while each gets one', () => {
+  test('are assigned to all daemons while each gets at least one', () => {
     assert.deepEqual(assign(fleet(6, ['a', 'b', 'c']), 31), { gateways: null, standbys: [], budget: 5 });
     assert.deepEqual(assign(fleet(31, ['a', 'b', 'c']), 31), { gateways: null, standbys: [], budget: 1 });
   });
 
-  test('are held by a few daemons of the member’s zone beyond that, never more than there are', () => {
+  test('are otherwise held by a few daemons of the member’s zone, within the limit', () => {
     for (const size of [32, 67, 300, 900]) {
       const { gateways, standbys, budget } = assign(fleet(size, ['a', 'b', 'c']), 31);
       assert.ok(gateways !== null && gateways.length >= 2);
@@ -38,18 +38,18 @@
     }
   });
 
-  test('are held by one daemon of another zone too, should the zone be lost', () => {
+  test('are also held by one daemon of another zone, in case the zone fails', () => {
     const { standbys } = assign(fleet(66, ['a', 'b', 'c']), 31);
     assert.equal(standbys.length, 1);
     assert.notEqual(standbys[0]?.zone, 'a');
   });
 
-  test('are held elsewhere when the zone has no daemons', () => {
+  test('are held in other zones if the member’s zone has no daemons', () => {
     const { gateways } = assign(fleet(60, ['b', 'c']), 31);
     assert.ok(gateways !== null && gateways.length > 0);
   });
 
-  test('stay where they are when another daemon leaves, and move to few others when a gateway does', () => {
+  test('are not reassigned when another daemon leaves, and only one gateway changes when one leaves', () => {
     const daemons = fleet(66, ['a', 'b', 'c']);
     const before = assign(daemons, 31).gateways ?? [];
     const other = daemons.find(({ zone, name }) => zone === 'a' && !before.some((one) => one.name === name));
@@ -68,7 +68,7 @@
     assert.equal(after.filter((one) => before.includes(one)).length, before.length - 1);
   });
 
-  test('go to daemons in proportion to their capacity', () => {
+  test('are assigned in proportion to the daemons’ capacity', () => {
     const daemons = [...fleet(20, ['a']), ...['big1', 'big2'].map((name) => daemon(name, 'a', 10))];
     let big = 0;
     for (let member = 0; member < 200; member += 1) {
@@ -79,8 +79,8 @@
   });
 });
 
-describe('the daemons that work on behalf of all', () => {
-  test('are all in a small fleet, and two a zone in a large one', () => {
+describe('the delegates of a fleet', () => {
+  test('are all daemons of a small fleet, and two per zone of a large one', () => {
     assert.equal(chooseDelegates('witnesses', fleet(12, ['a', 'b'])), null);
     const askers = chooseDelegates('witnesses', fleet(60, ['a', 'b', 'c'])) ?? [];
     assert.deepEqual(askers.map(({ zone }) => zone).sort(), ['a', 'a', 'b', 'b', 'c', 'c']);
@@ -91,7 +91,7 @@
   const records = new Map(fleet(3, ['a']).map((record) => [record.name, record]));
   const all = new Set(records.keys());
 
-  test('a lease that ran out while the store was in order means that the daemon does not take part', () => {
+  test('a daemon whose lease expired while the store was available is not live', () => {
     const directory = new DaemonDirectory();
     directory.update(records, all, 0);
     directory.update(records, new Set(['d0', 'd1']), 100);
@@ -101,7 +101,7 @@
     );
   });
 
-  test('only a daemon that comes, goes or starts anew is a change', () => {
+  test('reports a change only if a daemon joins, leaves or restarts', () => {
     const directory = new DaemonDirectory();
     assert.equal(directory.update(records, all, 0), true);
     assert.equal(directory.update(records, all, 100), false);
@@ -111,7 +111,7 @@
     assert.equal(directory.update(restarted, all, 400), true);
   });
 
-  test('after a loss of power, those that the store has a record of are expected back', () => {
+  test('after a power loss, daemons with a record in the store are expected to return', () => {
     const directory = new DaemonDirectory();
     directory.update(records, new Set(['d0']), 0);
     assert.equal(directory.live.length, 1);
@@ -119,7 +119,7 @@
     assert.equal(directory.expected(700_000).length, 1);
   });
 
-  test('but it may still hold evidence: it is known until it is replaced or long gone', () => {
+  test('a daemon without a lease stays known for a while, since it may still hold evidence', () => {
     const directory = new DaemonDirectory();
     directory.update(records, all, 0);
     directory.update(records, new Set(), 100);
@@ -127,7 +127,7 @@
     assert.equal(directory.known(700_000).length, 0);
   });
 
-  test('also when its record was taken away', () => {
+  test('a daemon whose record was deleted stays known too', () => {
     const directory = new DaemonDirectory();
     directory.update(records, all, 0);
     directory.update(new Map(), new Set(), 100);
@@ -135,7 +135,7 @@
     assert.equal(directory.known(60_000).length, 3);
   });
 
-  test('leases that ran out during an outage count only once their holders could register again', () => {
+  test('leases that expired during an outage count only after time to register again', () => {
     const directory = new DaemonDirectory();
     directory.update(records, all, 0);
     directory.availability(false, 100);
--- a/src/gateway/tenant-gateways.ts
+++ b/src/gateway/tenant-gateways.ts
@@ -1,22 +1,23 @@
 /**
- * Which of a member's gateways lend to a tenant. Pure; the same everywhere for the same daemons.
+ * Chooses which of a member's gateways lend connections to a tenant. A pure function: every daemon computes
+ * the same result from the same list of daemons.
  *
- * A connection belongs to one tenant, and a gateway has few: where each gateway lends to all tenants, it has seldom one for the
- * tenant that asks, and opens it at the cost of a slot of the member. So a tenant's work meets at few gateways, as many as its
- * share of the work needs.
+ * A connection belongs to one tenant, and a gateway has few. If every gateway lent to all tenants, it would
+ * seldom have an open connection for the requesting tenant, and opening one occupies a slot of the member.
+ * Requests of a tenant therefore go to only as many gateways as its share of the load needs.
  *
  * @packageDocumentation
  */
 import { preferredDaemons } from '../cluster/rank-by-capacity.js';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 
-/** Gateways for each one that the tenant's share of the work would keep busy: it comes in bursts. */
-const HEADROOM = 3;
+/** Factor by which a tenant's gateways exceed its average share of the load, to absorb bursts. */
+const BURST_HEADROOM = 3;
 
 /**
- * The gateways to ask for a tenant, in order.
+ * The gateways from which to borrow for a tenant, in order of preference.
  *
- * @param share - of the tenant in all work, 0 to 1
+ * @param share - the tenant's share of the total load, 0 to 1
  */
 export function gatewaysOfTenant(
   tenantName: string,
@@ -24,7 +25,7 @@
   memberId: string,
   gateways: readonly DaemonRecord[],
 ): readonly DaemonRecord[] {
-  const count = Math.min(gateways.length, Math.max(1, Math.ceil(share * gateways.length * HEADROOM)));
+  const count = Math.min(gateways.length, Math.max(1, Math.ceil(share * gateways.length * BURST_HEADROOM)));
   if (count === gateways.length) return gateways;
   return preferredDaemons(`${memberId} ${tenantName}`, gateways, count);
 }
