--- a/src/gateway/assignments.test.ts
+++ b/src/gateway/assignments.test.ts
@@ -1,5 +1,5 @@
 /**
- * Who connects to members before a fleet knows itself.
+ * Assignments while daemons start and know only part of the fleet, and after a member's entry changes.
  *
  * @packageDocumentation
  */
@@ -22,7 +22,7 @@
   bornMs: null,
 }));
 
-/** The assignments of one daemon, to which the store shows some of the fleet. */
+/** The assignments of one daemon, for which the store lists only `live`. */
 function assignmentsOf(
   ownName: string,
   live: readonly DaemonRecord[],
@@ -31,7 +31,7 @@
 ): Assignments {
   return new Assignments({
     ownName,
-    daemons: (isYoung) => (isYoung ? expected : live),
+    daemons: (isStartingUp) => (isStartingUp ? expected : live),
     connectionLimit: (groupName) => (groupName === 'g' ? 27 : 9),
     hasTenants: () => false,
     startedAtMs: () => 0,
@@ -39,12 +39,12 @@
   });
 }
 
-test('before any daemon is known, nobody connects', () => {
+test('no daemon connects before any daemon is known', () => {
   const assignments = assignmentsOf('d0', [], [], 0);
   for (const member of MEMBERS) assert.equal(assignments.budget(member), 0);
 });
 
-test('daemons that start together keep to the limit, though each has heard of few others yet', () => {
+test('daemons that start together stay within the limit, although each knows few others yet', () => {
   const fleet = fleetOf(195);
   for (const member of MEMBERS) {
     let planned = 0;
@@ -54,21 +54,21 @@
   }
 });
 
-test('a daemon that runs for a while plans with those that take part', () => {
+test('after the startup period, connections are assigned among the live daemons', () => {
   const fleet = fleetOf(195);
   const assignments = assignmentsOf('d0', fleet.slice(0, 6), fleet, 10_000);
   for (const member of MEMBERS) assert.equal(assignments.budget(member), 4);
 });
 
-test('an id whose next life has other slots, another zone or another group is assigned anew', () => {
+test('a member whose new incarnation has other slots, another zone or another group is assigned anew', () => {
   const fleet = fleetOf(60);
   const [member] = MEMBERS;
   assert.ok(member !== undefined);
   for (const change of [{ slots: 1 }, { zone: 'b' }, { groupName: 'other' }]) {
-    const known = assignmentsOf('d0', fleet, fleet, 10_000);
-    known.of(member);
+    const cached = assignmentsOf('d0', fleet, fleet, 10_000);
+    cached.of(member);
     const fresh = assignmentsOf('d0', fleet, fleet, 10_000);
     const next: MemberEntry = { ...member, ...change, bornMs: 1 };
-    assert.deepEqual(known.of(next), fresh.of(next), JSON.stringify(change));
+    assert.deepEqual(cached.of(next), fresh.of(next), JSON.stringify(change));
   }
 });
--- a/src/gateway/assignments.ts
+++ b/src/gateway/assignments.ts
@@ -1,88 +1,92 @@
 /**
- * Who connects to each member as this daemon computes it, and with how many connections.
+ * Computes and caches, for each member, which daemons connect to it and with how many connections.
  *
  * @packageDocumentation
  */
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import type { MemberEntry } from '../topology/member-group.js';
 import { assignGateways, type Assignment } from './assign-gateways.js';
-import { connectsItself } from './member-connections.js';
+import { isAssigned } from './member-connections.js';
 
-/** Connections of a member that no daemon plans with. */
+/** Connections of a member that are not assigned to any daemon. */
 const RESERVED_CONNECTIONS = 3;
-/** Most connections of a member that are planned with, for each of its slots: opening one takes a slot for a while. */
+/** Maximum assigned connections for each slot of a member, since opening one occupies a slot for a while. */
 const CONNECTIONS_PER_SLOT = 12;
 /**
- * For how long a daemon that has just started keeps to a part of its connections: members may still count those
- * of daemons that lost power, in milliseconds.
+ * Time after its start during which a daemon uses only a part of its connection budget, in milliseconds:
+ * members may still count the connections of daemons that lost power.
  */
-const YOUNG_MS = 3500;
-const YOUNG_SHARE = 0.5;
-/** Nobody is known who may connect: nobody does. */
-const NOBODY: Assignment = { gateways: [], standbys: [], budget: 0 };
+const STARTUP_PERIOD_MS = 3500;
+const STARTUP_BUDGET_SHARE = 0.5;
+/** Assignment while no daemon is known: no daemon connects. */
+const UNASSIGNED: Assignment = { gateways: [], standbys: [], budget: 0 };
 
-/** What the assignments depend on. */
+/** Inputs of the assignments. */
 export interface AssignmentsOptions {
   readonly ownName: string;
   /**
-   * Daemons that take part in the work.
+   * Daemons among which connections are assigned.
    *
-   * @param isYoung - true while this daemon may not have heard yet of others that start at the same time
+   * @param isStartingUp - true while this daemon may not know yet of others that are starting at the same
+   *   time
    */
-  daemons(isYoung: boolean): readonly DaemonRecord[];
-  /** Connections that each member of a group accepts. */
+  daemons(isStartingUp: boolean): readonly DaemonRecord[];
+  /** Number of connections that each member of a group accepts. */
   connectionLimit(groupName: string): number;
-  /** Whether connections belong to tenants. */
+  /** Whether each connection belongs to one tenant. */
   hasTenants(): boolean;
-  /** Since when this daemon runs, in monotonic milliseconds. */
+  /** Start of this daemon, in monotonic milliseconds. */
   startedAtMs(): number;
   now(): number;
 }
 
-/** An assignment, and the entry for which it was computed. */
-interface Known {
+/** An assignment, and the directory entry from which it was computed. */
+interface CachedAssignment {
   readonly entry: MemberEntry;
   readonly assignment: Assignment;
 }
 
-/** The assignments of all members, until something changes that they depend on. */
+/** The assignments of all members, cached until one of their inputs changes. */
 export class Assignments {
-  readonly #known = new Map<string, Known>();
+  readonly #cache = new Map<string, CachedAssignment>();
 
   constructor(private readonly options: AssignmentsOptions) {}
 
-  /** Computes all anew: the daemons or the limits have changed. */
+  /** Discards all cached assignments, after a change of the daemons or of the connection limits. */
   clear(): void {
-    this.#known.clear();
+    this.#cache.clear();
   }
 
-  /** Who connects to a member. */
+  /** The daemons that connect to a member. */
   of(entry: MemberEntry): Assignment {
-    const known = this.#known.get(entry.memberId);
-    if (known !== undefined && isAssignedAlike(known.entry, entry)) return known.assignment;
+    const cached = this.#cache.get(entry.memberId);
+    if (cached !== undefined && hasSameAssignmentInputs(cached.entry, entry)) return cached.assignment;
     const assignment = this.#assign(entry);
-    this.#known.set(entry.memberId, { entry, assignment });
+    this.#cache.set(entry.memberId, { entry, assignment });
     return assignment;
   }
 
-  /** Connections that this daemon may have to a member now. */
+  /** Number of connections that this daemon may currently hold to a member. */
   budget(entry: MemberEntry): number {
     const assignment = this.of(entry);
-    if (!connectsItself(assignment, this.options.ownName)) return 0;
-    return Math.max(1, Math.floor(this.isYoung ? assignment.budget * YOUNG_SHARE : assignment.budget));
+    if (!isAssigned(assignment, this.options.ownName)) return 0;
+    return Math.max(
+      1,
+      Math.floor(this.isYoung ? assignment.budget * STARTUP_BUDGET_SHARE : assignment.budget),
+    );
   }
 
-  /** True while this daemon has just started. */
+  /** True during the startup period of this daemon. */
   get isYoung(): boolean {
-    return this.options.now() - this.options.startedAtMs() < YOUNG_MS;
+    return this.options.now() - this.options.startedAtMs() < STARTUP_PERIOD_MS;
   }
 
-  /** True when this daemon connects to a member itself. */
+  /** True if this daemon is one of those that connect to a member. */
   connects(entry: MemberEntry): boolean {
-    return connectsItself(this.of(entry), this.options.ownName);
+    return isAssigned(this.of(entry), this.options.ownName);
   }
 
-  /** True when other daemons borrow connections to a member from this one. */
+  /** True if this daemon lends connections to a member to other daemons. */
   isGateway(entry: MemberEntry): boolean {
     return this.of(entry).gateways !== null && this.connects(entry);
   }
@@ -91,13 +95,13 @@
     const limit = this.options.connectionLimit(groupName);
     const connections = Math.max(1, Math.min(limit - RESERVED_CONNECTIONS, slots * CONNECTIONS_PER_SLOT));
     const daemons = this.options.daemons(this.isYoung);
-    if (daemons.length === 0) return NOBODY;
+    if (daemons.length === 0) return UNASSIGNED;
     const hasTenants = this.options.hasTenants();
     return assignGateways(daemons, { memberId, zone, connections, hasTenants });
   }
 }
 
-/** True when two entries of one id are assigned alike. */
-function isAssignedAlike(one: MemberEntry, other: MemberEntry): boolean {
+/** True if two entries of the same member id lead to the same assignment. */
+function hasSameAssignmentInputs(one: MemberEntry, other: MemberEntry): boolean {
   return one.groupName === other.groupName && one.zone === other.zone && one.slots === other.slots;
 }
--- a/src/gateway/member-connections.test.ts
+++ b/src/gateway/member-connections.test.ts
@@ -1,5 +1,5 @@
 /**
- * Whose connections a request uses.
+ * Choice between a daemon's own connections and borrowed ones.
  *
  * @packageDocumentation
  */
@@ -15,12 +15,12 @@
 import { MemberConnections } from './member-connections.js';
 
 const DEMAND: LinkDemand = { tenantName: null, values: new Map(), isWrite: false, priority: 1, dueAtMs: 0 };
-const LENT = { isOpen: true, close: () => undefined } as SessionLink;
+const LENT_LINK = { isOpen: true, close: () => undefined } as SessionLink;
 
-/** Connections to a member that refuses them all since it has too many. */
-function scene(
+/** Connections to a member that refuses all of them because it has too many. */
+function setUp(
   others: readonly string[],
-  lent = LENT,
+  lentLink = LENT_LINK,
 ): {
   connections: MemberConnections;
   borrowed: string[];
@@ -44,10 +44,10 @@
   });
   const gateways = {
     choose: (records: readonly DaemonRecord[]) => records[0] ?? null,
-    borrow: ({ name }: DaemonRecord, given: LoanTerms) => {
+    borrow: ({ name }: DaemonRecord, loanTerms: LoanTerms) => {
       borrowed.push(name);
-      terms.push(given);
-      return lent;
+      terms.push(loanTerms);
+      return lentLink;
     },
   };
   const connections = new MemberConnections({
@@ -64,28 +64,28 @@
   return { connections, borrowed, terms, clock };
 }
 
-test('a daemon to which the member gives none borrows one, and asks the member again later', async () => {
-  const { connections, borrowed, clock } = scene(['d2']);
+test('a daemon that the member refuses borrows a connection, and tries the member again later', async () => {
+  const { connections, borrowed, clock } = setUp(['d2']);
   assert.equal(connections.isDirect, true);
   await assert.rejects(connections.acquire(DEMAND, 1000), DialError);
   assert.equal(connections.isDirect, false);
-  assert.equal(await connections.acquire(DEMAND, 1000), LENT);
+  assert.equal(await connections.acquire(DEMAND, 1000), LENT_LINK);
   assert.deepEqual(borrowed, ['d2']);
   clock.now = 101;
   assert.equal(connections.isDirect, true);
 });
 
-test('without another daemon it goes on asking the member', async () => {
-  const { connections } = scene([]);
+test('a daemon that the member refuses keeps trying if there is no other daemon', async () => {
+  const { connections } = setUp([]);
   await assert.rejects(connections.acquire(DEMAND, 1000), DialError);
   assert.equal(connections.isDirect, true);
 });
 
-test('the end of the member ends its loans, and nothing is borrowed for it any more', async () => {
-  const { connections, borrowed } = scene(['d2']);
+test('the end of the member ends its loans, and no more are made', async () => {
+  const { connections, borrowed } = setUp(['d2']);
   const closed: SessionLink[] = [];
   const lent = { isOpen: true, close: () => void closed.push(lent) } as unknown as SessionLink;
-  const lending = scene(['d2'], lent);
+  const lending = setUp(['d2'], lent);
   await assert.rejects(lending.connections.acquire(DEMAND, 1000), DialError);
   assert.equal(await lending.connections.acquire(DEMAND, 1000), lent);
   lending.connections.end();
@@ -98,8 +98,8 @@
   assert.deepEqual(borrowed, []);
 });
 
-test('a loan says which life of the member is meant', () => {
-  const { connections, terms } = scene(['d2']);
+test('a loan states the requested incarnation of the member', () => {
+  const { connections, terms } = setUp(['d2']);
   connections.borrow(DEMAND, 1000);
   assert.deepEqual(
     terms.map(({ memberId, bornMs }) => [memberId, bornMs]),
--- a/src/gateway/member-connections.ts
+++ b/src/gateway/member-connections.ts
@@ -1,5 +1,5 @@
 /**
- * All ways to one member: connections of this daemon's own, or loans from gateways.
+ * Access to one member, over this daemon's own connections or over connections borrowed from gateways.
  *
  * @packageDocumentation
  */
@@ -13,86 +13,89 @@
 import { gatewaysOfTenant } from './tenant-gateways.js';
 import type { GatewayClient } from './gateway-client.js';
 
-/** What the connections need. */
+/** Dependencies of {@link MemberConnections}. */
 export interface MemberConnectionsOptions {
   readonly groupName: string;
   readonly memberId: string;
-  /** When the member's process started, in milliseconds of the Unix epoch; `null` where that is not known. */
+  /** Start of the member's process, in milliseconds of the Unix epoch; `null` if unknown. */
   bornMs(): number | null;
-  /** Connections of this daemon's own. */
+  /** This daemon's own connections. */
   readonly pool: LinkPool;
   readonly gateways: GatewayClient;
-  /** Who connects to the member now. */
+  /** The daemons that currently connect to the member. */
   assignment(): Assignment;
-  /** Other daemons that may have a connection when this one is given none. */
+  /** Other daemons to borrow from while the member refuses connections of this one. */
   others(): readonly DaemonRecord[];
-  /** Share of a tenant in all work, 0 to 1. */
+  /** A tenant's share of the total load, 0 to 1. */
   tenantShare(tenantName: string): number;
-  /** This daemon's name. */
   readonly ownName: string;
 }
 
 /**
- * Time for which a gateway's word that no connection came free may be on its way, in milliseconds: a few ways between zones, and a
- * wait for the processor.
+ * Time allowed for the gateway's reply that no connection became free, in milliseconds: covers a few
+ * cross-zone trips and a scheduling delay.
  */
-const WORD_RESERVE_MS = 50;
+const REPLY_MARGIN_MS = 50;
 
 /**
- * How long a gateway waits for a connection on behalf of a request that waits so long, in milliseconds. Its word has to come before
- * the loan is given up: after that nobody could tell whether the request was sent.
+ * Maximum wait at a gateway for a request that may wait `waitMs`, in milliseconds. It is shorter, so that the
+ * gateway's reply arrives before the borrower ends the loan; after that it would be unknown whether the
+ * request was sent.
  */
 function gatewayWaitMs(waitMs: number): number {
-  return Math.round(Math.max(waitMs - WORD_RESERVE_MS, waitMs / 2));
+  return Math.round(Math.max(waitMs - REPLY_MARGIN_MS, waitMs / 2));
 }
 
-/** True when a daemon connects to the member itself. */
-export function connectsItself({ gateways, standbys }: Assignment, daemonName: string): boolean {
+/** True if a daemon is one of those that connect to the member. */
+export function isAssigned({ gateways, standbys }: Assignment, daemonName: string): boolean {
   return gateways === null || [...gateways, ...standbys].some(({ name }) => name === daemonName);
 }
 
-/** Hands out connections to one member. */
+/** Provides connections to one member. */
 export class MemberConnections {
   readonly #borrowed = new Set<SessionLink>();
   #hasEnded = false;
 
   constructor(private readonly options: MemberConnectionsOptions) {}
 
-  /** Connections of this daemon's own. */
+  /** The pool of this daemon's own connections. */
   get own(): LinkPool {
     return this.options.pool;
   }
 
-  /** Connections in use, and requests that wait for one. */
+  /** Number of connections in use and of requests waiting for one. */
   get load(): number {
     return this.options.pool.load + this.#borrowed.size;
   }
 
-  /** True when a request would have to wait for another to finish. */
+  /**
+   * True if this daemon uses its own pool and a request would have to wait for a connection to be released.
+   */
   get isExhausted(): boolean {
     return this.isDirect && this.options.pool.isExhausted;
   }
 
-  /** True when this daemon is one of those that connect to the member. */
+  /** True if this daemon is one of those that connect to the member. */
   get isAssigned(): boolean {
-    return connectsItself(this.options.assignment(), this.options.ownName);
+    return isAssigned(this.options.assignment(), this.options.ownName);
   }
 
-  /** True when some daemons hold the connections to the member for all. */
+  /** True if only gateways connect to the member. */
   get hasGateways(): boolean {
     return this.options.assignment().gateways !== null;
   }
 
   /**
-   * True when this daemon uses connections of its own to the member. Not while the member refuses it one: for seconds after
-   * a loss of power, members count the connections of processes that are no more.
+   * True if this daemon uses its own connections to the member. False while the member refuses them and
+   * another daemon can lend: for seconds after a power loss, members still count the connections of processes
+   * that no longer exist.
    */
   get isDirect(): boolean {
     return this.isAssigned && !(this.options.pool.isShut && this.options.others().length > 0);
   }
 
   /**
-   * A connection for exclusive use; give it back with {@link MemberConnections.release}.
+   * Acquires a connection for exclusive use, to be released with {@link MemberConnections.release}.
    *
    * @throws PoolTimeoutError, DialError: nothing was sent
    */
@@ -102,7 +105,7 @@
   }
 
   /**
-   * A connection that a gateway lends; give it back with {@link MemberConnections.release}.
+   * Borrows a connection from a gateway, to be released with {@link MemberConnections.release}.
    *
    * @throws PoolTimeoutError: nothing was sent
    */
@@ -112,7 +115,7 @@
     const { gateways: lenders, standbys } = this.options.assignment();
     const gateway = this.isAssigned
       ? gateways.choose(this.options.others())
-      : this.#chooseFor(tenantName, lenders ?? [], standbys);
+      : this.#chooseGatewayFor(tenantName, lenders ?? [], standbys);
     if (gateway === null) throw new PoolTimeoutError('no gateway in reach');
     const bornMs = this.options.bornMs();
     const terms = { groupName, memberId, bornMs, tenantName, priority, waitMs: gatewayWaitMs(waitMs) };
@@ -121,26 +124,29 @@
     return link;
   }
 
-  /** Others than the tenant's own gateways are asked when none of these is there. */
-  #chooseFor(
+  /** Chooses one of the tenant's gateways, or another gateway if none of these is available. */
+  #chooseGatewayFor(
     tenantName: string | null,
     lenders: readonly DaemonRecord[],
     standbys: readonly DaemonRecord[],
   ): DaemonRecord | null {
     const { gateways, memberId, tenantShare } = this.options;
     if (tenantName === null) return gateways.choose(lenders, standbys);
-    const own = gatewaysOfTenant(tenantName, tenantShare(tenantName), memberId, lenders);
-    return gateways.choose(own, own === lenders ? standbys : lenders) ?? gateways.choose(lenders, standbys);
+    const tenantGateways = gatewaysOfTenant(tenantName, tenantShare(tenantName), memberId, lenders);
+    return (
+      gateways.choose(tenantGateways, tenantGateways === lenders ? standbys : lenders) ??
+      gateways.choose(lenders, standbys)
+    );
   }
 
-  /** The member's life has ended: all connections end now, own ones and loans, also those in use. */
+  /** Closes all connections, own and borrowed, even those in use: the member's incarnation has ended. */
   end(): void {
     this.#hasEnded = true;
     this.options.pool.end();
     for (const link of [...this.#borrowed]) this.release(link);
   }
 
-  /** Takes a connection back. */
+  /** Releases an acquired or borrowed connection. */
   release(link: SessionLink): void {
     if (link instanceof PooledLink) {
       this.options.pool.release(link);
--- a/src/gateway/waiting-loan.test.ts
+++ b/src/gateway/waiting-loan.test.ts
@@ -1,10 +1,12 @@
 /**
- * A request that waits at a gateway for a connection until its time is over.
+ * A request that waits at a gateway for a connection until its timeout.
  *
- * Users were told that a write is in doubt though it had never left the gateway. The gateway was to wait as long as the daemon
- * that had asked it, so that daemon gave the loan up first, with no word of whether anything was sent.
+ * Guards against a write being reported as in doubt although the gateway never sent it to the member. This
+ * happens if the gateway waits as long as the borrower: the borrower then ends the loan first, without
+ * knowing whether the write was sent.
  *
- * Evidence: `code=in_doubt ... answer lost: LinkLostError: given up`, with `sentAgoMs` the whole time-out of the route.
+ * The symptom is `code=in_doubt ... answer lost: LinkLostError: given up`, with `sentAgoMs` equal to the full
+ * timeout of the route.
  */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
@@ -14,12 +16,12 @@
 import { GatewayServer } from './gateway-server.js';
 import { MemberConnections } from './member-connections.js';
 
-/** An address of this process's own, so that two runs do not meet. */
+/** An address specific to this process, so that concurrent test runs do not conflict. */
 const HOST = `127.79.${(process.pid >> 8) & 255}.${1 + (process.pid % 250)}`;
 const RECORD = daemonRecord('gateway', { host: HOST, gatewayPort: 23_891 });
 const WAIT_MS = 400;
 
-/** A pool that may have no connection. */
+/** A pool that may not open any connection. */
 const pool = new LinkPool({
   dialer: { dial: () => assert.fail('no connection is to be opened') },
   address: { memberId: 'm', groupName: 'g', host: 'h', port: 1 },
@@ -47,7 +49,7 @@
   server.close();
 });
 
-test('is told that nothing was sent before the loan is given up', async () => {
+test('a waiting request gets the reply that nothing was sent before the borrower ends the loan', async () => {
   const connections = new MemberConnections({
     groupName: 'g',
     memberId: 'm',
