--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -1,9 +1,9 @@
 /**
  * Messages between a daemon and a gateway that lends it connections to members.
  *
- * A loan is one use of a member connection: a single statement, or a transaction. The gateway takes a connection
- * when the first request of a loan arrives, and takes it back when the loan is returned, or when a statement outside
- * a transaction has been answered.
+ * A loan is one use of a member connection, for a single statement or a transaction. The gateway acquires a
+ * connection from its pool when the first request of the loan arrives. It releases the connection when the
+ * loan is returned, or after the reply to a statement outside a transaction.
  *
  * @packageDocumentation
  */
@@ -15,134 +15,145 @@
 import type { PreparedShape } from '../relay/statement.js';
 import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
 
-/** Begins a loan; nothing is sent to the member yet. */
+/** Starts a loan; nothing is sent to the member yet. */
 export interface BorrowMessage {
   readonly type: 'borrow';
   readonly loan: number;
   readonly groupName: string;
   readonly memberId: string;
-  /** Start of the life of the member that is meant, in milliseconds of the Unix epoch; any will do where it is not given. */
+  /**
+   * Start of the requested incarnation of the member, in milliseconds of the Unix epoch; any incarnation if
+   * not given.
+   */
   readonly bornMs?: number | null;
-  /** Name of the tenant that the connection has to belong to; `null` where any will do. */
+  /** Tenant to which the connection must belong; `null` for a connection of any tenant. */
   readonly tenantName: string | null;
   readonly priority: number;
-  /** Longest wait for a connection, in milliseconds. */
+  /** Maximum wait for a connection, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** The session values that the following requests of the loan are to meet. */
+/** Session values to apply before the following requests of the loan. */
 export interface ValuesMessage {
   readonly type: 'values';
   readonly loan: number;
   readonly values: readonly (readonly [string, string])[];
 }
 
-/** A request to the member, answered in order. */
+/** A request to the member; replies arrive in the order of the requests. */
 export interface LoanRequestMessage {
   readonly type: 'request';
   readonly loan: number;
   readonly request: MemberRequest;
-  /** What has to be prepared before an `execute`. */
+  /** The statement to prepare before an `execute`. */
   readonly prepared: PreparedShape | null;
 }
 
-/** Ends a loan; what is open is rolled back. */
+/** Ends a loan; an open transaction is rolled back. */
 export interface ReturnMessage {
   readonly type: 'return';
   readonly loan: number;
 }
 
-/** The member's answer, or the gateway's word that nothing was sent (`busy`). */
+/** The member's reply, or the gateway's own reply that nothing was sent to the member (`busy`). */
 export interface LoanReplyMessage {
   readonly type: 'reply';
   readonly loan: number;
   readonly reply: MemberReply;
 }
 
-/** The loan is over: the member's connection was lost, or given up. What is open is rolled back. */
+/**
+ * The gateway has ended the loan, or lost the connection to the member; an open transaction is rolled back.
+ */
 export interface LoanLostMessage {
   readonly type: 'lost';
   readonly loan: number;
   readonly reason: string;
-  /** True when nothing that the loan has not been answered was sent, or will be; otherwise it may have run. */
+  /**
+   * True if requests without a reply were not sent to the member and never will be; otherwise they may have
+   * run.
+   */
   readonly isUnsent: boolean;
 }
 
-/** Asks for a sign of life, or gives one. */
-export interface GatewaySignMessage {
+/** A liveness check, or the reply to one. */
+export interface GatewayPingMessage {
   readonly type: 'ping' | 'pong';
 }
 
-/** The gateway is about to stop: no new loans. */
-export interface GatewayLeavesMessage {
+/** The gateway is about to stop and should get no new loans. */
+export interface GatewayLeavingMessage {
   readonly type: 'leaving';
 }
 
-/** The last message of a gateway that stops: it reads nothing more, so what it has not spoken of was not sent. */
-export interface GatewayEndsMessage {
+/**
+ * The last message of a gateway that stops. It reads nothing more, so requests that it has not reported on
+ * were not sent.
+ */
+export interface GatewayEndMessage {
   readonly type: 'ended';
 }
 
-/** Asks for evidence of leaders, and gives it. */
-export interface EvidenceQuestionMessage {
+/** Requests evidence of leadership. */
+export interface EvidenceRequestMessage {
   readonly type: 'ask_evidence';
   readonly id: number;
-  /** Version of the leaders that whoever asks has been sent over this connection. */
+  /** Version of the leaders that the requester last received over this connection. */
   readonly knownVersion: number;
 }
 
-/** What the gateway can prove. */
-export interface EvidenceAnswerMessage {
+/** The evidence that the gateway holds. */
+export interface EvidenceReplyMessage {
   readonly type: 'evidence';
   readonly id: number;
   readonly answer: EvidenceAnswer;
 }
 
-/** Asks for changes of the store after a revision. */
-export interface ChangesQuestionMessage {
+/** Requests the changes of the store after a revision. */
+export interface ChangesRequestMessage {
   readonly type: 'ask_changes';
   readonly id: number;
   readonly afterRevision: Revision;
-  /** Longest wait for a change, in milliseconds. */
+  /** Maximum wait for a change, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** What the daemon has heard of the store. */
-export interface ChangesAnswerMessage {
+/** The changes of the store that the daemon knows. */
+export interface ChangesReplyMessage {
   readonly type: 'changes';
   readonly id: number;
   readonly answer: PassedChanges;
 }
 
-/** Asks for a proof that a configuration is the newest, and for a newer one. */
-export interface ConfigurationQuestionMessage {
+/** Requests proof that the held configuration is the newest, or a newer one. */
+export interface ConfigurationRequestMessage {
   readonly type: 'ask_configuration';
   readonly id: number;
   readonly heldVersion: number;
 }
 
-/** What the daemon knows of the newest configuration. */
-export interface ConfigurationAnswerMessage {
+/** The daemon's knowledge of the newest configuration. */
+export interface ConfigurationReplyMessage {
   readonly type: 'configuration';
   readonly id: number;
   readonly answer: PassedConfiguration;
 }
 
-/** Asks the home of a tenant for operations. */
-export interface GrantQuestionMessage {
+/** Requests a grant of operations from a tenant's quota home or its stand-in. */
+export interface GrantRequestMessage {
   readonly type: 'ask_grant';
   readonly id: number;
   readonly request: GrantRequest;
 }
 
-/** What the home grants; `null` when this daemon is not the one to ask. */
-export interface GrantAnswerMessage {
+/** The operations granted; `null` if this daemon is not responsible for the tenant's quota. */
+export interface GrantReplyMessage {
   readonly type: 'grant';
   readonly id: number;
   readonly grant: Grant | null;
 }
 
-/** Any message on a connection to a gateway. */
+/** Any message on a connection between a daemon and a gateway. */
 export type GatewayMessage =
   | BorrowMessage
   | ValuesMessage
@@ -150,17 +161,17 @@
   | ReturnMessage
   | LoanReplyMessage
   | LoanLostMessage
-  | GatewaySignMessage
-  | GatewayLeavesMessage
-  | GatewayEndsMessage
-  | EvidenceQuestionMessage
-  | EvidenceAnswerMessage
-  | ChangesQuestionMessage
-  | ChangesAnswerMessage
-  | ConfigurationQuestionMessage
-  | ConfigurationAnswerMessage
-  | GrantQuestionMessage
-  | GrantAnswerMessage;
-
-/** Largest message, in bytes. */
+  | GatewayPingMessage
+  | GatewayLeavingMessage
+  | GatewayEndMessage
+  | EvidenceRequestMessage
+  | EvidenceReplyMessage
+  | ChangesRequestMessage
+  | ChangesReplyMessage
+  | ConfigurationRequestMessage
+  | ConfigurationReplyMessage
+  | GrantRequestMessage
+  | GrantReplyMessage;
+
+/** Maximum message size, in bytes. */
 export const MAX_GATEWAY_MESSAGE_BYTES = 2 * 1024 * 1024 + 64 * 1024;
--- a/src/gateway/status-questions.ts
+++ b/src/gateway/status-questions.ts
@@ -1,5 +1,5 @@
 /**
- * Questions for the status of members that a gateway puts on behalf of other daemons, over connections of its pools.
+ * Status requests that a gateway sends to members on behalf of other daemons, over connections of its pools.
  *
  * @packageDocumentation
  */
@@ -7,29 +7,31 @@
 import type { LinkPool } from '../relay/link-pool.js';
 import type { MemberReply } from '../relay/member-link.js';
 
-/** Longest wait for a connection, in milliseconds: less than those who ask wait for the answer. */
+/**
+ * Maximum wait for a connection, in milliseconds: shorter than the time that borrowers wait for the reply.
+ */
 const CONNECTION_WAIT_MS = 150;
 
-/** Asks each member once for all who wait for its status. */
+/** Sends concurrent status requests to a member as one. */
 export class StatusQuestions {
-  readonly #byPool = new WeakMap<LinkPool, SharedQuestion<MemberReply>>();
+  readonly #requests = new WeakMap<LinkPool, SharedQuestion<MemberReply>>();
 
   /**
-   * The status of the pool's member, asked after this call.
+   * Requests the status of the pool's member. The reply is to a request sent after this call.
    *
    * @throws PoolTimeoutError, DialError: nothing was sent; LinkLostError
    */
   ask(pool: LinkPool): Promise<MemberReply> {
-    let question = this.#byPool.get(pool);
-    if (question === undefined) {
-      question = new SharedQuestion(() => sendStatus(pool));
-      this.#byPool.set(pool, question);
+    let request = this.#requests.get(pool);
+    if (request === undefined) {
+      request = new SharedQuestion(() => requestStatus(pool));
+      this.#requests.set(pool, request);
     }
-    return question.ask();
+    return request.ask();
   }
 }
 
-async function sendStatus(pool: LinkPool): Promise<MemberReply> {
+async function requestStatus(pool: LinkPool): Promise<MemberReply> {
   const dueAtMs = performance.now() + CONNECTION_WAIT_MS;
   const demand = {
     tenantName: null,
