--- a/src/gateway/borrowed-link.ts
+++ b/src/gateway/borrowed-link.ts
@@ -1,5 +1,5 @@
 /**
- * A member connection that a gateway lends, as a session uses it.
+ * A member connection borrowed from a gateway, in the form that sessions use.
  *
  * @packageDocumentation
  */
@@ -9,23 +9,23 @@
 import type { PreparedShape, TransactionState } from '../relay/statement.js';
 import type { BorrowMessage, GatewayMessage } from './gateway-messages.js';
 
-interface Pending {
+interface PendingRequest {
   resolve(reply: MemberReply): void;
   reject(error: LinkLostError): void;
 }
 
-/** One loan, at the daemon that borrows. */
+/** The borrower's end of one loan. */
 export class BorrowedLink implements SessionLink {
-  readonly #pending: Pending[] = [];
+  readonly #pending: PendingRequest[] = [];
   readonly #prepared = new Map<string, PreparedShape>();
   #values: SessionValues = new Map();
   #state: TransactionState = 'idle';
-  #hasBegun = false;
+  #isAnnounced = false;
   #isOpen = true;
 
   /**
-   * @param send - sends to the gateway
-   * @param onEnd - told once when the loan is over at this end
+   * @param transmit - sends a message to the gateway
+   * @param onEnd - called once when the loan has ended at this daemon
    */
   constructor(
     private readonly terms: BorrowMessage,
@@ -45,16 +45,16 @@
     return this.#state;
   }
 
-  /** True while an answer is waited for. */
-  get isWaiting(): boolean {
+  /** True while a request has no reply yet. */
+  get isAwaitingReply(): boolean {
     return this.#pending.length > 0;
   }
 
   async adoptValues(values: SessionValues): Promise<void> {
     if (!this.#isOpen) throw new NotSentError('not open');
-    if (isSame(values, this.#values)) return;
+    if (haveSameValues(values, this.#values)) return;
     this.#values = new Map(values);
-    this.#begin();
+    this.#announce();
     this.transmit({ type: 'values', loan: this.terms.loan, values: [...values] });
   }
 
@@ -66,7 +66,7 @@
 
   send(request: MemberRequest): Promise<MemberReply> {
     if (!this.#isOpen) return Promise.reject(new NotSentError('not open'));
-    this.#begin();
+    this.#announce();
     const prepared = request.kind === 'execute' ? (this.#prepared.get(request.name) ?? null) : null;
     return new Promise((resolve, reject) => {
       this.#pending.push({ resolve, reject });
@@ -76,36 +76,41 @@
 
   close(): void {
     if (!this.#isOpen) return;
-    if (this.#hasBegun) this.transmit({ type: 'return', loan: this.terms.loan });
+    if (this.#isAnnounced) this.transmit({ type: 'return', loan: this.terms.loan });
     this.#end(new LinkLostError('given up'));
   }
 
-  /** The gateway passes the member's answer on. */
-  receive(reply: MemberReply): void {
+  /** Handles a reply of the member that the gateway forwards. */
+  handleReply(reply: MemberReply): void {
     this.#state = reply.state;
     this.#pending.shift()?.resolve(reply);
   }
 
   /**
-   * The loan is over, or the way to the gateway is lost.
+   * Ends the loan after the gateway ended it or the connection to the gateway was lost. Requests without a
+   * reply are rejected.
    *
-   * @param isUnsent - true when what is not answered was not sent to the member
+   * @param isUnsent - true if requests without a reply were not sent to the member
    */
-  lose(reason: string, isUnsent: boolean): void {
+  fail(reason: string, isUnsent: boolean): void {
     if (!this.#isOpen) return;
     this.#end(isUnsent ? new NotSentError(reason) : new LinkLostError(reason));
   }
 
-  /** The gateway was never reached: what waits was not sent. */
+  /**
+   * Ends the loan because the gateway could not be reached; pending requests, which were not sent, get this
+   * reply.
+   */
   refuse(reply: MemberReply): void {
     if (!this.#isOpen) return;
     for (const { resolve } of this.#pending.splice(0)) resolve(reply);
     this.#end(new NotSentError('the gateway was not reached'));
   }
 
-  #begin(): void {
-    if (this.#hasBegun) return;
-    this.#hasBegun = true;
+  /** Announces the loan to the gateway before its first message. */
+  #announce(): void {
+    if (this.#isAnnounced) return;
+    this.#isAnnounced = true;
     this.transmit(this.terms);
   }
 
@@ -116,7 +121,7 @@
   }
 }
 
-function isSame(left: SessionValues, right: SessionValues): boolean {
+function haveSameValues(left: SessionValues, right: SessionValues): boolean {
   if (left.size !== right.size) return false;
   for (const [name, value] of left) if (right.get(name) !== value) return false;
   return true;
--- a/src/gateway/gateway-client.test.ts
+++ b/src/gateway/gateway-client.test.ts
@@ -1,5 +1,5 @@
 /**
- * Which gateway requests are sent to when some are gone.
+ * Choice of a gateway while some gateways are unavailable.
  *
  * @packageDocumentation
  */
@@ -12,7 +12,7 @@
 import { GatewayClient } from './gateway-client.js';
 import { GatewayServer } from './gateway-server.js';
 
-/** An address of this process's own, so that two runs do not meet. */
+/** An address specific to this process, so that concurrent test runs do not conflict. */
 const HOST = `127.77.${(process.pid >> 8) & 255}.${1 + (process.pid % 250)}`;
 const ports = {
   pool: () => null,
@@ -23,78 +23,78 @@
 };
 const TERMS = { groupName: 'g', memberId: 'm', bornMs: null, tenantName: null, priority: 1, waitMs: 100 };
 
-let running: GatewayServer;
-const alive = recordOf('alive', 23_871);
-const gone = recordOf('gone', 23_872);
+let availableServer: GatewayServer;
+const available = recordOf('alive', 23_871);
+const unavailable = recordOf('gone', 23_872);
 
 before(async () => {
-  running = new GatewayServer(ports);
-  await running.listen(HOST, alive.gatewayPort);
+  availableServer = new GatewayServer(ports);
+  await availableServer.listen(HOST, available.gatewayPort);
 });
-after(() => running.close());
+after(() => availableServer.close());
 
 function recordOf(name: string, gatewayPort: number): DaemonRecord {
   return daemonRecord(name, { host: HOST, gatewayPort });
 }
 
-/** A client that has lost a gateway. */
-async function clientWithoutGone(clock: { now: number }): Promise<GatewayClient> {
+/** A client for which one gateway is unavailable. */
+async function clientWithUnavailable(clock: { now: number }): Promise<GatewayClient> {
   const client = new GatewayClient(HOST, () => clock.now, Math.random);
-  const reply = await client.borrow(gone, TERMS).send({ kind: 'status' });
+  const reply = await client.borrow(unavailable, TERMS).send({ kind: 'status' });
   assert.equal(reply.result.isComplete, false, 'nothing was sent');
   return client;
 }
 
-test('a gateway that was lost is not tried again by requests while there is another', async () => {
+test('an unavailable gateway is not used for requests while another is available', async () => {
   const clock = { now: 0 };
-  const client = await clientWithoutGone(clock);
+  const client = await clientWithUnavailable(clock);
   for (clock.now = 0; clock.now < 5000; clock.now += 50) {
-    assert.equal(client.choose([alive, gone])?.name, 'alive');
+    assert.equal(client.choose([available, unavailable])?.name, 'alive');
     await new Promise((resolve) => setImmediate(resolve));
   }
   client.close();
 });
 
-test('it is once it has answered', async () => {
+test('an unavailable gateway is used again once it has replied', async () => {
   const clock = { now: 0 };
-  const client = await clientWithoutGone(clock);
-  const back = new GatewayServer(ports);
-  await back.listen(HOST, gone.gatewayPort);
+  const client = await clientWithUnavailable(clock);
+  const restarted = new GatewayServer(ports);
+  await restarted.listen(HOST, unavailable.gatewayPort);
   clock.now = 1000;
   await waitUntil('the gateway to be used again', () => {
     clock.now += 1;
-    const names = new Set(Array.from({ length: 40 }, () => client.choose([alive, gone])?.name));
+    const names = new Set(Array.from({ length: 40 }, () => client.choose([available, unavailable])?.name));
     return Promise.resolve(names.has('gone'));
   });
   client.close();
-  back.close();
+  restarted.close();
 });
 
-test('a standby is used once all gateways were lost, and only then', async () => {
+test('a standby is used only while all gateways are unavailable', async () => {
   const clock = { now: 0 };
-  const client = await clientWithoutGone(clock);
-  const standby = recordOf('standby', alive.gatewayPort);
-  assert.equal(client.choose([alive, gone], [standby])?.name, 'alive');
-  assert.equal(client.choose([gone], [standby])?.name, 'standby');
+  const client = await clientWithUnavailable(clock);
+  const standby = recordOf('standby', available.gatewayPort);
+  assert.equal(client.choose([available, unavailable], [standby])?.name, 'alive');
+  assert.equal(client.choose([unavailable], [standby])?.name, 'standby');
   clock.now = 700;
-  assert.equal(client.choose([gone], [standby])?.name, 'standby', 'the gateway has not answered yet');
+  assert.equal(client.choose([unavailable], [standby])?.name, 'standby', 'the gateway has not replied yet');
   client.close();
 });
 
-test('where all were lost, requests try them', async () => {
+test('an unavailable gateway is tried by requests if there is no other', async () => {
   const clock = { now: 0 };
-  const client = await clientWithoutGone(clock);
-  assert.equal(client.choose([gone]), null);
+  const client = await clientWithUnavailable(clock);
+  assert.equal(client.choose([unavailable]), null);
   clock.now = 700;
-  assert.equal(client.choose([gone])?.name, 'gone');
+  assert.equal(client.choose([unavailable])?.name, 'gone');
   client.close();
 });
 
-test('a daemon that is silent is not waited for by others too, for grants and proofs', async () => {
+test('an unresponsive daemon delays no further requests for grants or configuration proofs', async () => {
   const clock = { now: 0 };
-  const silent = recordOf('silent', 23_873);
+  const unresponsive = recordOf('silent', 23_873);
   const server = createServer((socket) => socket.resume());
-  await new Promise<void>((resolve) => server.listen(silent.gatewayPort, HOST, resolve));
+  await new Promise<void>((resolve) => server.listen(unresponsive.gatewayPort, HOST, resolve));
   const client = new GatewayClient(HOST, () => clock.now, Math.random);
   const quota = { ratePerS: 1, burst: 1 };
   const request = {
@@ -105,11 +105,11 @@
     isPassedOn: false,
     hasHomeRetired: false,
   };
-  assert.equal(await client.askGrant(silent, request, 20), null);
+  assert.equal(await client.askGrant(unresponsive, request, 20), null);
   clock.now = 500;
   const startMs = performance.now();
-  assert.equal(await client.askGrant(silent, request, 60_000), null);
-  assert.equal(await client.askConfiguration(silent, 0, 60_000), null);
+  assert.equal(await client.askGrant(unresponsive, request, 60_000), null);
+  assert.equal(await client.askConfiguration(unresponsive, 0, 60_000), null);
   assert.ok(performance.now() - startMs < 10_000);
   client.close();
   server.close();
--- a/src/gateway/gateway-client.ts
+++ b/src/gateway/gateway-client.ts
@@ -1,5 +1,6 @@
 /**
- * Connections to gateways, over which this daemon borrows member connections and asks for evidence.
+ * Connections to gateways, over which this daemon borrows member connections and sends requests to other
+ * daemons.
  *
  * @packageDocumentation
  */
@@ -13,54 +14,61 @@
 import { MessageChannel } from '../peer/message-channel.js';
 import { BorrowedLink } from './borrowed-link.js';
 import { MAX_GATEWAY_MESSAGE_BYTES, type GatewayMessage } from './gateway-messages.js';
-import { notSent } from './loan.js';
-
-/** Longest time to open a connection, in milliseconds. */
-const DIAL_MS = 400;
-/** Silence, while an answer is owed, after which a sign of life is asked for, in milliseconds. */
-const PING_MS = 150;
-/** Silence after which no new loans are asked for, and after which the connection is given up, in milliseconds. */
-const AVOID_AFTER_MS = 400;
-const DEAD_MS = 1200;
-/** How long a gateway that was silent or not reached is left alone before a connection to it is opened again, in milliseconds. */
-const AVOID_MS = 600;
-
-/** What is borrowed. */
+import { notSentReply } from './loan.js';
+
+/** Timeout for opening a connection, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 400;
+/** Time without any message, while a reply is awaited, after which a ping is sent, in milliseconds. */
+const PING_INTERVAL_MS = 150;
+/** The same time after which a gateway counts as unresponsive and gets no new loans, in milliseconds. */
+const UNRESPONSIVE_AFTER_MS = 400;
+/** The same time after which the connection is closed, in milliseconds. */
+const CLOSE_AFTER_MS = 1200;
+/** Delay before a gateway that was unresponsive or unreachable is tried again, in milliseconds. */
+const RETRY_DELAY_MS = 600;
+
+/** The member connection to borrow. */
 export interface LoanTerms {
   readonly groupName: string;
   readonly memberId: string;
-  /** When the member's process started, as the borrower knows it, in milliseconds of the Unix epoch; `null` where it does not. */
+  /**
+   * Start of the member's process as known to the borrower, in milliseconds of the Unix epoch; `null` if
+   * unknown.
+   */
   readonly bornMs: number | null;
   readonly tenantName: string | null;
   readonly priority: number;
-  /** Longest wait for a connection, in milliseconds. */
+  /** Maximum wait for a connection, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** A question to another daemon that is no loan. */
-type Question =
+/** A request to another daemon that does not belong to a loan. */
+type PeerRequest =
   | { readonly type: 'ask_evidence' }
   | { readonly type: 'ask_changes'; readonly afterRevision: Revision; readonly waitMs: number }
   | { readonly type: 'ask_configuration'; readonly heldVersion: number }
   | { readonly type: 'ask_grant'; readonly request: GrantRequest };
 
-/** Its answer; `null` when none came in time. */
-type Answer =
+/** The reply to a {@link PeerRequest}; `null` if none arrived in time. */
+type PeerReply =
   | { readonly type: 'evidence'; readonly entries: readonly SharedEvidence[] }
   | { readonly type: 'changes'; readonly answer: PassedChanges }
   | { readonly type: 'configuration'; readonly answer: PassedConfiguration }
   | { readonly type: 'grant'; readonly grant: Grant | null }
   | null;
 
-/** A question under way. */
-interface OpenQuestion {
-  /** True when it is answered at once: silence then says that the daemon is in trouble. */
+/** A request whose reply is awaited. */
+interface PendingPeerRequest {
+  /** True if the daemon replies at once, so that a missing reply indicates a fault. */
   readonly isPrompt: boolean;
-  settle(answer: Answer): void;
+  settle(reply: PeerReply): void;
 }
 
-/** What a gateway answers at once, or with the member's next answer: its silence then is a sign of trouble. */
-const PROMPTLY_ANSWERED: ReadonlySet<GatewayMessage['type']> = new Set([
+/**
+ * Messages to which a gateway replies at once, or as soon as the member does. A missing reply to one of them
+ * indicates a fault.
+ */
+const PROMPT_REPLY_TYPES: ReadonlySet<GatewayMessage['type']> = new Set([
   'request',
   'ask_evidence',
   'ask_configuration',
@@ -71,18 +79,21 @@
 class GatewayConnection {
   isLeaving = false;
   readonly loans = new Map<number, BorrowedLink>();
-  readonly questions = new Map<number, OpenQuestion>();
+  readonly pendingRequests = new Map<number, PendingPeerRequest>();
   readonly #evidence = new EvidenceReader();
   readonly #channel: MessageChannel<GatewayMessage>;
   readonly #openedAtMs: number;
   #isConnected = false;
-  /** The gateway has said its last: what it has not spoken of was not sent. */
-  #hasEnded = false;
-  #hasAnswered = false;
-  /** Since when an answer has been owed with nothing heard, in monotonic milliseconds; `null` when none is. */
-  #owedSinceMs: number | null = null;
-  #pingedAtMs = Number.NEGATIVE_INFINITY;
-  #nextLoan = 1;
+  /** The gateway has sent `ended`: requests that it has not reported on were not sent to the member. */
+  #hasReceivedEnd = false;
+  #hasReplied = false;
+  /**
+   * Time since which a reply has been awaited without any message arriving, in monotonic milliseconds; `null`
+   * if none is awaited.
+   */
+  #awaitingSinceMs: number | null = null;
+  #lastPingMs = Number.NEGATIVE_INFINITY;
+  #lastLoanId = 1;
 
   constructor(
     record: DaemonRecord,
@@ -95,57 +106,60 @@
     socket.once('connect', () => (this.#isConnected = true));
     this.#channel = new MessageChannel<GatewayMessage>(socket, MAX_GATEWAY_MESSAGE_BYTES, {
       message: (message) => this.#receive(message),
-      closed: () => this.#closed(),
+      closed: () => this.#handleClose(),
     });
   }
 
-  /** True once the gateway has said anything. */
-  get hasAnswered(): boolean {
-    return this.#hasAnswered;
+  /** True once any message has arrived from the gateway. */
+  get hasReplied(): boolean {
+    return this.#hasReplied;
   }
 
-  /** Silence while an answer is owed, in milliseconds. */
-  get silenceMs(): number {
-    return this.#owedSinceMs === null ? 0 : this.now() - this.#owedSinceMs;
+  /** Time without any message while a reply is awaited, in milliseconds. */
+  get unansweredMs(): number {
+    return this.#awaitingSinceMs === null ? 0 : this.now() - this.#awaitingSinceMs;
   }
 
   borrow(terms: LoanTerms): BorrowedLink {
-    this.#nextLoan += 1;
-    const loan = this.#nextLoan;
+    this.#lastLoanId += 1;
+    const loan = this.#lastLoanId;
     const link = new BorrowedLink(
       { type: 'borrow', loan, ...terms },
       (message) => this.#transmit(message),
-      () => this.#ended(loan),
+      () => this.#removeLoan(loan),
     );
     this.loans.set(loan, link);
     return link;
   }
 
-  ask(id: number, question: Question, settle: (answer: Answer) => void): void {
-    this.questions.set(id, { isPrompt: question.type !== 'ask_changes', settle });
-    if (question.type === 'ask_evidence')
+  sendRequest(id: number, request: PeerRequest, settle: (reply: PeerReply) => void): void {
+    this.pendingRequests.set(id, { isPrompt: request.type !== 'ask_changes', settle });
+    if (request.type === 'ask_evidence')
       this.#transmit({ type: 'ask_evidence', id, knownVersion: this.#evidence.knownVersion });
-    else this.#transmit({ ...question, id });
+    else this.#transmit({ ...request, id });
   }
 
-  /** Asks for a sign of life at once. */
+  /** Sends a ping at once, and awaits the reply. */
   probe(): void {
-    this.overdue();
+    this.startReplyClock();
     this.#channel.send({ type: 'ping' });
   }
 
-  /** An answer has not come in time: a sign of life is due. */
-  overdue(): void {
-    this.#owedSinceMs ??= this.now();
+  /** Awaits a reply from now on, unless one is awaited already. */
+  startReplyClock(): void {
+    this.#awaitingSinceMs ??= this.now();
   }
 
-  /** Asks for a sign of life where one is due; ends what is dead. */
+  /**
+   * Sends a ping if one is due; closes the connection if it could not be opened in time or is unresponsive
+   * for too long.
+   */
   check(): void {
     const nowMs = this.now();
-    if (!this.#isConnected && nowMs - this.#openedAtMs > DIAL_MS) this.#channel.destroy();
-    if (this.silenceMs > DEAD_MS) this.#channel.destroy();
-    if (this.silenceMs < PING_MS || nowMs - this.#pingedAtMs < PING_MS) return;
-    this.#pingedAtMs = nowMs;
+    if (!this.#isConnected && nowMs - this.#openedAtMs > CONNECT_TIMEOUT_MS) this.#channel.destroy();
+    if (this.unansweredMs > CLOSE_AFTER_MS) this.#channel.destroy();
+    if (this.unansweredMs < PING_INTERVAL_MS || nowMs - this.#lastPingMs < PING_INTERVAL_MS) return;
+    this.#lastPingMs = nowMs;
     this.#channel.send({ type: 'ping' });
   }
 
@@ -154,67 +168,67 @@
   }
 
   #transmit(message: GatewayMessage): void {
-    if (PROMPTLY_ANSWERED.has(message.type)) this.#owedSinceMs ??= this.now();
+    if (PROMPT_REPLY_TYPES.has(message.type)) this.#awaitingSinceMs ??= this.now();
     this.#channel.send(message);
   }
 
   #receive(message: GatewayMessage): void {
-    this.#hasAnswered = true;
+    this.#hasReplied = true;
     switch (message.type) {
       case 'reply':
-        this.loans.get(message.loan)?.receive(message.reply);
+        this.loans.get(message.loan)?.handleReply(message.reply);
         break;
       case 'lost':
-        this.loans.get(message.loan)?.lose(message.reason, message.isUnsent);
+        this.loans.get(message.loan)?.fail(message.reason, message.isUnsent);
         break;
       case 'evidence': {
         const entries = this.#evidence.read(message.answer);
-        this.#answered(message.id, { type: 'evidence', entries });
+        this.#settleRequest(message.id, { type: 'evidence', entries });
         break;
       }
       case 'changes':
-        this.#answered(message.id, { type: 'changes', answer: message.answer });
+        this.#settleRequest(message.id, { type: 'changes', answer: message.answer });
         break;
       case 'configuration':
       case 'grant':
-        this.#answered(message.id, message);
+        this.#settleRequest(message.id, message);
         break;
       case 'leaving':
         this.isLeaving = true;
         break;
       case 'ended':
-        this.#hasEnded = true;
+        this.#hasReceivedEnd = true;
         this.#channel.destroy();
         break;
       default:
         break;
     }
-    this.#owedSinceMs = this.#isOwed() ? this.now() : null;
+    this.#awaitingSinceMs = this.#isAwaitingReply() ? this.now() : null;
   }
 
-  #answered(id: number, answer: Answer): void {
-    this.questions.get(id)?.settle(answer);
-    this.questions.delete(id);
+  #settleRequest(id: number, reply: PeerReply): void {
+    this.pendingRequests.get(id)?.settle(reply);
+    this.pendingRequests.delete(id);
   }
 
-  #isOwed(): boolean {
-    for (const { isPrompt } of this.questions.values()) if (isPrompt) return true;
-    for (const link of this.loans.values()) if (link.isWaiting) return true;
+  #isAwaitingReply(): boolean {
+    for (const { isPrompt } of this.pendingRequests.values()) if (isPrompt) return true;
+    for (const link of this.loans.values()) if (link.isAwaitingReply) return true;
     return false;
   }
 
-  #ended(loan: number): void {
+  #removeLoan(loan: number): void {
     this.loans.delete(loan);
-    if (!this.#isOwed()) this.#owedSinceMs = null;
+    if (!this.#isAwaitingReply()) this.#awaitingSinceMs = null;
   }
 
-  #closed(): void {
+  #handleClose(): void {
     this.onClosed();
-    for (const { settle } of this.questions.values()) settle(null);
-    this.questions.clear();
+    for (const { settle } of this.pendingRequests.values()) settle(null);
+    this.pendingRequests.clear();
     for (const link of [...this.loans.values()]) {
-      if (this.#isConnected) link.lose('the connection to the gateway was lost', this.#hasEnded);
-      else link.refuse(notSent('the gateway was not reached'));
+      if (this.#isConnected) link.fail('the connection to the gateway was lost', this.#hasReceivedEnd);
+      else link.refuse(notSentReply('the gateway was not reached'));
     }
   }
 }
@@ -222,12 +236,15 @@
 /** All connections of this daemon to gateways. */
 export class GatewayClient {
   readonly #connections = new Map<string, GatewayConnection>();
-  readonly #avoidUntilMs = new Map<string, number>();
-  /** Gateways that were silent or not reached: no request finds out whether they are back. */
-  readonly #lost = new Set<string>();
-  #nextQuestion = 1;
+  readonly #retryAtMs = new Map<string, number>();
+  /**
+   * Gateways that were unresponsive or unreachable. They are probed, so that no request has to find out
+   * whether they recovered.
+   */
+  readonly #unavailable = new Set<string>();
+  #lastRequestId = 1;
 
-  /** @param localAddress - the daemon's own address, from which it calls */
+  /** @param localAddress - the daemon's own address, from which connections are opened */
   constructor(
     private readonly localAddress: string,
     private readonly now: () => number,
@@ -235,18 +252,18 @@
   ) {}
 
   /**
-   * The gateway to borrow from now: the one with the fewest loans of this daemon; `null` when none can be used. One that was
-   * lost is used again once it has answered a question, or when there is no other.
+   * The gateway to borrow from: the one with the fewest loans to this daemon; `null` if none can be used. A
+   * gateway that became unavailable is used again once it has replied to a probe, or if there is no other.
    *
-   * @param standbys - used while none of the gateways is known to be there
+   * @param standbys - used while none of the gateways is known to be available
    */
   choose(gateways: readonly DaemonRecord[], standbys: readonly DaemonRecord[] = []): DaemonRecord | null {
-    const usable = gateways.filter((record) => this.#isUsable(record));
-    const present = this.#leastUsed(usable.filter((record) => this.#isBack(record)));
-    return present ?? (standbys.length > 0 ? this.choose(standbys) : null) ?? this.#leastUsed(usable);
+    const usable = gateways.filter((record) => this.#mayBorrowFrom(record));
+    const available = this.#leastLoaded(usable.filter((record) => this.#isAvailable(record)));
+    return available ?? (standbys.length > 0 ? this.choose(standbys) : null) ?? this.#leastLoaded(usable);
   }
 
-  #leastUsed(gateways: readonly DaemonRecord[]): DaemonRecord | null {
+  #leastLoaded(gateways: readonly DaemonRecord[]): DaemonRecord | null {
     let best: DaemonRecord | null = null;
     let fewest = Number.POSITIVE_INFINITY;
     const start = Math.floor(this.random() * gateways.length);
@@ -261,119 +278,130 @@
     return best;
   }
 
-  /** Borrows a connection; the gateway is told with the first request. */
+  /** Borrows a connection; the loan is announced to the gateway with its first message. */
   borrow(gateway: DaemonRecord, terms: LoanTerms): BorrowedLink {
     return this.#connection(gateway).borrow(terms);
   }
 
-  /** What a daemon can prove; `null` when it does not answer in time. */
+  /** The leadership evidence that a daemon holds; `null` if it does not reply in time. */
   async askEvidence(record: DaemonRecord, timeoutMs: number): Promise<readonly SharedEvidence[] | null> {
-    const answer = await this.#ask(record, { type: 'ask_evidence' }, timeoutMs);
-    return answer?.type === 'evidence' ? answer.entries : null;
+    const reply = await this.#request(record, { type: 'ask_evidence' }, timeoutMs);
+    return reply?.type === 'evidence' ? reply.entries : null;
   }
 
-  /** What a daemon has heard of the store; `null` when it does not answer in time. */
+  /** The changes of the store that a daemon knows; `null` if it does not reply in time. */
   async askChanges(
     record: DaemonRecord,
     afterRevision: Revision,
     waitMs: number,
     timeoutMs: number,
   ): Promise<PassedChanges | null> {
-    const answer = await this.#ask(record, { type: 'ask_changes', afterRevision, waitMs }, timeoutMs);
-    return answer?.type === 'changes' ? answer.answer : null;
+    const reply = await this.#request(record, { type: 'ask_changes', afterRevision, waitMs }, timeoutMs);
+    return reply?.type === 'changes' ? reply.answer : null;
   }
 
-  /** What a daemon knows of the newest configuration; `null` when it does not answer in time, or is silent. */
+  /**
+   * A daemon's knowledge of the newest configuration; `null` if it is unresponsive or does not reply in time.
+   */
   async askConfiguration(
     record: DaemonRecord,
     heldVersion: number,
     timeoutMs: number,
   ): Promise<PassedConfiguration | null> {
-    if (this.#isSilent(record)) return null;
-    const answer = await this.#ask(record, { type: 'ask_configuration', heldVersion }, timeoutMs);
-    return answer?.type === 'configuration' ? answer.answer : null;
+    if (this.#isUnresponsive(record)) return null;
+    const reply = await this.#request(record, { type: 'ask_configuration', heldVersion }, timeoutMs);
+    return reply?.type === 'configuration' ? reply.answer : null;
   }
 
-  /** What a daemon grants; `null` when it does not answer in time, is silent, or is not the one to ask. */
+  /**
+   * The operations that a daemon grants; `null` if it is unresponsive, does not reply in time, or is not
+   * responsible for the tenant's quota.
+   */
   async askGrant(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null> {
-    if (this.#isSilent(record)) return null;
-    const answer = await this.#ask(record, { type: 'ask_grant', request }, timeoutMs);
-    return answer?.type === 'grant' ? answer.grant : null;
+    if (this.#isUnresponsive(record)) return null;
+    const reply = await this.#request(record, { type: 'ask_grant', request }, timeoutMs);
+    return reply?.type === 'grant' ? reply.grant : null;
   }
 
-  #ask(record: DaemonRecord, question: Question, timeoutMs: number): Promise<Answer> {
+  #request(record: DaemonRecord, request: PeerRequest, timeoutMs: number): Promise<PeerReply> {
     const connection = this.#connection(record);
-    this.#nextQuestion += 1;
-    const id = this.#nextQuestion;
+    this.#lastRequestId += 1;
+    const id = this.#lastRequestId;
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        connection.questions.delete(id);
-        connection.overdue();
+        connection.pendingRequests.delete(id);
+        connection.startReplyClock();
         resolve(null);
       }, timeoutMs);
-      connection.ask(id, question, (answer) => {
+      connection.sendRequest(id, request, (reply) => {
         clearTimeout(timer);
-        resolve(answer);
+        resolve(reply);
       });
     });
   }
 
-  /** Looks after silent connections; to be called every some ten milliseconds. */
+  /** Pings or closes unresponsive connections; to be called every few tens of milliseconds. */
   check(): void {
     for (const [key, connection] of [...this.#connections]) {
-      if (connection.silenceMs > AVOID_AFTER_MS) this.#lose(key);
+      if (connection.unansweredMs > UNRESPONSIVE_AFTER_MS) this.#markUnavailable(key);
       connection.check();
     }
   }
 
-  /** Forgets connections to daemons that are no more, unless they are in use. */
+  /**
+   * Closes connections without loans to daemons that are not among `records`, and forgets that these were
+   * unavailable.
+   */
   retain(records: readonly DaemonRecord[]): void {
     const keys = new Set(records.map(keyOf));
     for (const [key, connection] of [...this.#connections])
       if (!keys.has(key) && connection.loans.size === 0) connection.close();
-    for (const key of [...this.#avoidUntilMs.keys()]) if (!keys.has(key)) this.#avoidUntilMs.delete(key);
-    for (const key of [...this.#lost]) if (!keys.has(key)) this.#lost.delete(key);
+    for (const key of [...this.#retryAtMs.keys()]) if (!keys.has(key)) this.#retryAtMs.delete(key);
+    for (const key of [...this.#unavailable]) if (!keys.has(key)) this.#unavailable.delete(key);
   }
 
-  /** Ends everything. */
+  /** Closes all connections. */
   close(): void {
     for (const connection of [...this.#connections.values()]) connection.close();
   }
 
-  /** True unless a gateway was lost; asks one that was whether it is back. */
-  #isBack(record: DaemonRecord): boolean {
+  /** True unless the gateway is unavailable; probes one that is, and marks it available after its reply. */
+  #isAvailable(record: DaemonRecord): boolean {
     const key = keyOf(record);
-    if (!this.#lost.has(key)) return true;
-    const known = this.#connections.get(key);
-    if (known === undefined) this.#connection(record).probe();
-    if (known?.hasAnswered !== true || known.silenceMs > 0) return false;
-    this.#lost.delete(key);
+    if (!this.#unavailable.has(key)) return true;
+    const existing = this.#connections.get(key);
+    if (existing === undefined) this.#connection(record).probe();
+    if (existing?.hasReplied !== true || existing.unansweredMs > 0) return false;
+    this.#unavailable.delete(key);
     return true;
   }
 
-  #lose(key: string): void {
-    this.#lost.add(key);
-    this.#avoidUntilMs.set(key, this.now() + AVOID_MS);
+  #markUnavailable(key: string): void {
+    this.#unavailable.add(key);
+    this.#retryAtMs.set(key, this.now() + RETRY_DELAY_MS);
   }
 
-  #isUsable(record: DaemonRecord): boolean {
+  #mayBorrowFrom(record: DaemonRecord): boolean {
     const key = keyOf(record);
-    if (this.now() < (this.#avoidUntilMs.get(key) ?? Number.NEGATIVE_INFINITY)) return false;
+    if (this.now() < (this.#retryAtMs.get(key) ?? Number.NEGATIVE_INFINITY)) return false;
     return this.#connections.get(key)?.isLeaving !== true;
   }
 
-  /** True while it owes an answer for long: callers do not wait for it too. One whose process has ended is soon back. */
-  #isSilent(record: DaemonRecord): boolean {
-    return (this.#connections.get(keyOf(record))?.silenceMs ?? 0) > AVOID_AFTER_MS;
+  /**
+   * True while a reply from the daemon is overdue, so that further callers need not wait for it. A daemon
+   * whose process ended does not count, since it is soon restarted.
+   */
+  #isUnresponsive(record: DaemonRecord): boolean {
+    return (this.#connections.get(keyOf(record))?.unansweredMs ?? 0) > UNRESPONSIVE_AFTER_MS;
   }
 
   #connection(record: DaemonRecord): GatewayConnection {
     const key = keyOf(record);
-    const known = this.#connections.get(key);
-    if (known !== undefined) return known;
+    const existing = this.#connections.get(key);
+    if (existing !== undefined) return existing;
     const connection: GatewayConnection = new GatewayConnection(record, this.localAddress, this.now, () => {
       this.#connections.delete(key);
-      this.#lose(key);
+      this.#markUnavailable(key);
     });
     this.#connections.set(key, connection);
     return connection;
--- a/src/gateway/gateway-server.test.ts
+++ b/src/gateway/gateway-server.test.ts
@@ -1,13 +1,13 @@
 /**
- * A gateway that is told to stop.
+ * Shutdown of a gateway, and the end of a member's incarnation.
  *
- * Users lost requests, and had transactions in doubt, at daemons that went on, since the gateway whose connections they used
- * was told to stop. It told everybody to borrow elsewhere and let open loans go on; at 85 % of the grace time it destroyed its
- * connections, whatever they were at. A write that had waited there for a connection was in doubt though nothing was sent, and
- * so was a commit that came to an ended loan; an answer that stood in the socket's buffer was lost with the process.
+ * Guards against lost requests and in-doubt transactions at running daemons whose gateway is told to stop. A
+ * gateway that lets open loans continue and destroys its connections at 85 % of the grace time leaves in
+ * doubt a write that still waits for a connection and a commit for an ended loan, although neither was sent
+ * to the member. A reply that is still in the socket's buffer is lost with the process.
  *
- * Evidence: `code=in_doubt ... answer lost: LinkLostError: given up ... sentAgoMs=4999`, a whole time-out after the request was
- * handed to the gateway.
+ * The symptom is `code=in_doubt ... answer lost: LinkLostError: given up ... sentAgoMs=4999`, a full timeout
+ * after the request was passed to the gateway.
  */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, test } from 'node:test';
@@ -22,7 +22,7 @@
 import { GatewayServer } from './gateway-server.js';
 import { at } from '../../test/support/revisions.js';
 
-/** An address of this process's own, so that two runs do not meet. */
+/** An address specific to this process, so that concurrent test runs do not conflict. */
 const HOST = `127.78.${(process.pid >> 8) & 255}.${1 + (process.pid % 250)}`;
 const RECORD = daemonRecord('gateway', { host: HOST, gatewayPort: 23_881 });
 const TERMS = { groupName: 'g', memberId: 'm', bornMs: null, tenantName: null, priority: 1, waitMs: 60_000 };
@@ -32,10 +32,10 @@
 
 let server: GatewayServer;
 let client: GatewayClient;
-/** The connections that the member has accepted. */
+/** Connections that the member has accepted. */
 let links: SlowLink[];
 let pool: LinkPool;
-/** When the member that the gateway knows started. */
+/** Start of the member's incarnation that the gateway knows. */
 let bornMs: number | null;
 
 beforeEach(async () => {
@@ -60,7 +60,8 @@
     random: () => 0.5,
   });
   server = new GatewayServer({
-    pool: (_group, life) => (compareIncarnations({ memberId: 'm', bornMs }, life) === 'same' ? pool : null),
+    pool: (_group, incarnation) =>
+      compareIncarnations({ memberId: 'm', bornMs }, incarnation) === 'same' ? pool : null,
     ownEvidence: () => ({ version: 1, leaders: [], agesMs: [] }),
     changes: () => new Promise<never>(() => undefined),
     configuration: () => ({ version: 0, proof: null, item: null }),
@@ -74,20 +75,20 @@
   server.close();
 });
 
-/** The newest connection of the member. */
+/** The newest connection to the member. */
 function memberLink(): SlowLink {
   const link = links.at(-1);
   assert.ok(link !== undefined);
   return link;
 }
 
-/** Lets the member answer the next request. */
+/** Makes the member reply to the next request. */
 async function answerNext(): Promise<void> {
-  await waitUntil('the member to be asked', () => links.at(-1)?.answer() === true);
+  await waitUntil('the member to receive the request', () => links.at(-1)?.answer() === true);
 }
 
-/** A loan inside a transaction that has written, and rests. */
-async function resting(): Promise<BorrowedLink> {
+/** A loan that is idle in a transaction after a write. */
+async function loanInTransaction(): Promise<BorrowedLink> {
   const loan = client.borrow(RECORD, TERMS);
   for (const request of [BEGIN, WRITE]) {
     const reply = loan.send(request);
@@ -97,8 +98,8 @@
   return loan;
 }
 
-/** Whether a request was answered, and what is known of it when it was not. */
-async function fateOf(reply: Promise<MemberReply>): Promise<'answered' | 'refused' | 'not sent' | 'lost'> {
+/** Outcome of a request: whether it got a reply, was refused, was not sent, or may have run. */
+async function outcomeOf(reply: Promise<MemberReply>): Promise<'answered' | 'refused' | 'not sent' | 'lost'> {
   try {
     return (await reply).result.isComplete ? 'answered' : 'refused';
   } catch (error) {
@@ -108,85 +109,85 @@
   }
 }
 
-test('a request that waits for a connection is told to go elsewhere as soon as the gateway leaves', async () => {
-  const holder = await resting();
+test('a request that waits for a connection is refused as soon as the gateway is leaving', async () => {
+  const holder = await loanInTransaction();
   const waiting = client.borrow(RECORD, TERMS);
-  const fate = fateOf(waiting.send(WRITE));
+  const outcome = outcomeOf(waiting.send(WRITE));
   await waitUntil('the request to wait', () => server.openLoans === 2);
   server.leave();
-  assert.equal(await fate, 'refused');
-  assert.equal(client.choose([RECORD]), null, 'nothing more is borrowed there');
-  const commit = fateOf(holder.send(COMMIT));
+  assert.equal(await outcome, 'refused');
+  assert.equal(client.choose([RECORD]), null, 'no new loans from this gateway');
+  const commit = outcomeOf(holder.send(COMMIT));
   await answerNext();
-  assert.equal(await commit, 'answered', 'loans that have a connection go on');
+  assert.equal(await commit, 'answered', 'loans that have a connection continue');
 });
 
-test('a loan that rests inside a transaction ends as the gateway winds up, before its next request', async () => {
-  const loan = await resting();
+test('winding up ends a loan that is idle in a transaction, before its next request', async () => {
+  const loan = await loanInTransaction();
   server.windUp();
-  await waitUntil('the borrower to be told', () => !loan.isOpen);
+  await waitUntil('the borrower to be notified', () => !loan.isOpen);
   assert.equal(memberLink().isOpen, false, 'the member rolls back');
-  assert.equal(await fateOf(loan.send(COMMIT)), 'not sent');
+  assert.equal(await outcomeOf(loan.send(COMMIT)), 'not sent');
   assert.equal(server.openLoans, 0);
 });
 
-test('a statement that is under way as the gateway winds up is answered, and the loan ends then', async () => {
-  const loan = await resting();
-  const fate = fateOf(loan.send(WRITE));
-  await waitUntil('the member to be asked', () => memberLink().isAsked);
+test('winding up ends a loan with a statement in flight after the reply', async () => {
+  const loan = await loanInTransaction();
+  const outcome = outcomeOf(loan.send(WRITE));
+  await waitUntil('the member to receive the request', () => memberLink().isAsked);
   server.windUp();
   assert.equal(loan.isOpen, true);
   memberLink().answer();
-  assert.equal(await fate, 'answered');
-  await waitUntil('the borrower to be told', () => !loan.isOpen);
+  assert.equal(await outcome, 'answered');
+  await waitUntil('the borrower to be notified', () => !loan.isOpen);
   assert.equal(memberLink().isOpen, false);
 });
 
-test('a commit that crosses the end of its loan was not sent', async () => {
-  const loan = await resting();
+test('a commit that crosses the message that ends its loan is not sent to the member', async () => {
+  const loan = await loanInTransaction();
   server.windUp();
-  assert.equal(await fateOf(loan.send(COMMIT)), 'not sent');
+  assert.equal(await outcomeOf(loan.send(COMMIT)), 'not sent');
   assert.deepEqual(memberLink().ran, ['statement inside']);
 });
 
-test('a new request is refused as not run while the gateway winds up', async () => {
+test('a new request is refused as not run while the gateway is winding up', async () => {
   const loan = client.borrow(RECORD, TERMS);
   server.windUp();
-  assert.equal(await fateOf(loan.send(BEGIN)), 'refused');
+  assert.equal(await outcomeOf(loan.send(BEGIN)), 'refused');
 });
 
-test('what is at the member as the gateway finishes is told to be lost, and is not left open', async () => {
-  const loan = await resting();
-  const fate = fateOf(loan.send(COMMIT));
-  await waitUntil('the member to be asked', () => memberLink().isAsked);
+test('a request in flight when the gateway finishes is reported as lost, and its loan ends', async () => {
+  const loan = await loanInTransaction();
+  const outcome = outcomeOf(loan.send(COMMIT));
+  await waitUntil('the member to receive the request', () => memberLink().isAsked);
   await server.finish();
-  assert.equal(await fate, 'lost');
+  assert.equal(await outcome, 'lost');
   assert.equal(server.openLoans, 0);
 });
 
-test('an answer is not lost with the connection that ends right after it', async () => {
-  const loan = await resting();
-  const fate = fateOf(loan.send(COMMIT));
-  await waitUntil('the member to be asked', () => memberLink().isAsked);
+test('a reply is delivered even if the connection ends right after it', async () => {
+  const loan = await loanInTransaction();
+  const outcome = outcomeOf(loan.send(COMMIT));
+  await waitUntil('the member to receive the request', () => memberLink().isAsked);
   memberLink().answer();
   await new Promise((resolve) => setImmediate(resolve));
   await server.finish();
-  assert.equal(await fate, 'answered');
+  assert.equal(await outcome, 'answered');
 });
 
-test('a request that crosses the end of the connection was not sent', async () => {
+test('a request that crosses the end of the connection is not sent to the member', async () => {
   const first = client.borrow(RECORD, TERMS);
-  const served = fateOf(first.send(WRITE));
+  const served = outcomeOf(first.send(WRITE));
   await answerNext();
   assert.equal(await served, 'answered');
   const finished = server.finish();
-  const fate = fateOf(client.borrow(RECORD, TERMS).send(WRITE));
-  assert.equal(await fate, 'not sent');
+  const outcome = outcomeOf(client.borrow(RECORD, TERMS).send(WRITE));
+  assert.equal(await outcome, 'not sent');
   await finished;
   assert.equal(memberLink().ran.length, 1);
 });
 
-test('a question that is open as the gateway finishes is not waited for', async () => {
+test('a request for changes that is pending when the gateway finishes does not delay it', async () => {
   const startMs = performance.now();
   const answer = client.askChanges(RECORD, at(0), 60_000, 60_000);
   await client.askEvidence(RECORD, 1000);
@@ -195,56 +196,56 @@
   assert.ok(performance.now() - startMs < 10_000);
 });
 
-describe('a member whose life has ended', () => {
-  test('ends a loan that rests inside a transaction, before its next request', async () => {
-    const loan = await resting();
+describe('a member whose incarnation has ended', () => {
+  test('ends a loan that is idle in a transaction, before its next request', async () => {
+    const loan = await loanInTransaction();
     server.endLoans(pool);
     pool.end();
-    await waitUntil('the borrower to be told', () => !loan.isOpen);
+    await waitUntil('the borrower to be notified', () => !loan.isOpen);
     assert.equal(memberLink().isOpen, false);
-    assert.equal(await fateOf(loan.send(COMMIT)), 'not sent');
+    assert.equal(await outcomeOf(loan.send(COMMIT)), 'not sent');
     assert.equal(server.openLoans, 0);
   });
 
-  test('leaves open what became of a request that it had been sent', async () => {
-    const loan = await resting();
-    const fate = fateOf(loan.send(COMMIT));
-    await waitUntil('the member to be asked', () => memberLink().isAsked);
+  test('leaves the outcome of a request in flight unknown', async () => {
+    const loan = await loanInTransaction();
+    const outcome = outcomeOf(loan.send(COMMIT));
+    await waitUntil('the member to receive the request', () => memberLink().isAsked);
     server.endLoans(pool);
     pool.end();
-    assert.equal(await fate, 'lost');
+    assert.equal(await outcome, 'lost');
   });
 
-  test('is waited for no longer', async () => {
-    const holder = await resting();
-    const fate = fateOf(client.borrow(RECORD, TERMS).send(WRITE));
+  test('refuses requests that wait for a connection', async () => {
+    const holder = await loanInTransaction();
+    const outcome = outcomeOf(client.borrow(RECORD, TERMS).send(WRITE));
     await waitUntil('the request to wait', () => server.openLoans === 2);
     server.endLoans(pool);
     pool.end();
-    assert.equal(await fate, 'refused');
-    await waitUntil('the borrower to be told', () => !holder.isOpen);
+    assert.equal(await outcome, 'refused');
+    await waitUntil('the borrower to be notified', () => !holder.isOpen);
   });
 
-  test('has no part in the loans of other members', async () => {
-    const loan = await resting();
+  test('does not affect loans of other members', async () => {
+    const loan = await loanInTransaction();
     server.endLoans(new LinkPool({} as ConstructorParameters<typeof LinkPool>[0]));
-    const fate = fateOf(loan.send(COMMIT));
+    const outcome = outcomeOf(loan.send(COMMIT));
     await answerNext();
-    assert.equal(await fate, 'answered');
+    assert.equal(await outcome, 'answered');
   });
 
-  test('is not taken for the one that a loan means, nor the other way round', async () => {
-    for (const [known, meant, expected] of [
+  test('does not serve loans for another incarnation, older or newer', async () => {
+    for (const [current, requested, expected] of [
       [2000, 1000, 'refused'],
       [1000, 2000, 'refused'],
       [2000, 2000, 'answered'],
       [2000, null, 'answered'],
       [null, 1000, 'answered'],
     ] as const) {
-      bornMs = known;
-      const fate = fateOf(client.borrow(RECORD, { ...TERMS, bornMs: meant }).send(WRITE));
+      bornMs = current;
+      const outcome = outcomeOf(client.borrow(RECORD, { ...TERMS, bornMs: requested }).send(WRITE));
       if (expected === 'answered') await answerNext();
-      assert.equal(await fate, expected, `${known} ${meant}`);
+      assert.equal(await outcome, expected, `${current} ${requested}`);
     }
   });
 });
--- a/src/gateway/gateway-server.ts
+++ b/src/gateway/gateway-server.ts
@@ -16,41 +16,43 @@
 import { Loan, type LendingStage } from './loan.js';
 import { StatusQuestions } from './status-questions.js';
 
-/** What the server asks of its daemon. */
+/** Functions of the daemon that the server uses to handle requests. */
 export interface GatewayServerPorts {
-  /** The pool of a member, in the life that is meant, to which this daemon may connect, or `null`. */
-  pool(groupName: string, life: Incarnation): LinkPool | null;
-  /** What this daemon can prove, for one who has been sent a version of the leaders. */
+  /**
+   * The pool of a member; `null` if this daemon may not connect to it, or knows another incarnation of it.
+   */
+  pool(groupName: string, incarnation: Incarnation): LinkPool | null;
+  /** The leadership evidence of this daemon, for a requester that already has a version of the leaders. */
   ownEvidence(knownVersion: number): EvidenceAnswer;
-  /** Changes of the store as this daemon has heard of them. */
+  /** The changes of the store after a revision that this daemon knows; waits up to `waitMs` for one. */
   changes(afterRevision: Revision, waitMs: number): Promise<PassedChanges>;
-  /** What this daemon knows of the newest configuration, for one who holds a version of it. */
+  /** This daemon's knowledge of the newest configuration, for a requester that holds a version of it. */
   configuration(heldVersion: number): PassedConfiguration;
-  /** Operations of a tenant for another daemon; `null` when this daemon is not the one to ask. */
+  /** Grants operations of a tenant; `null` if this daemon is not responsible for the tenant's quota. */
   grant(request: GrantRequest): Promise<Grant | null>;
 }
 
-/** Listens for daemons that borrow. */
+/** Accepts connections from other daemons and handles their loans and requests. */
 export class GatewayServer {
   readonly #server: Server;
   readonly #channels = new Map<MessageChannel<GatewayMessage>, Map<number, Loan>>();
   readonly #statusQuestions = new StatusQuestions();
   #stage: LendingStage = 'lending';
-  /** True once nothing that comes is read any more. */
+  /** True once incoming messages are ignored. */
   #isFinished = false;
 
   constructor(private readonly ports: GatewayServerPorts) {
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Loans that are not returned yet. */
+  /** Number of loans that have not ended. */
   get openLoans(): number {
     let open = 0;
     for (const loans of this.#channels.values()) open += loans.size;
     return open;
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -58,23 +60,30 @@
     });
   }
 
-  /** Tells everybody to borrow elsewhere, also those who wait for a connection here; loans that have one go on. */
+  /**
+   * Tells all borrowers to borrow elsewhere and refuses loans that wait for a connection; loans that have one
+   * continue.
+   */
   leave(): void {
     for (const channel of this.#channels.keys()) channel.send({ type: 'leaving' });
-    this.#enter('leaving');
+    this.#enterStage('leaving');
   }
 
-  /** Ends what rests inside a transaction, at once or with the answer to come, and takes nothing new. */
+  /**
+   * Ends loans inside a transaction, at once or after the reply to the request in flight, and lends no more
+   * connections.
+   */
   windUp(): void {
-    this.#enter('winding_up');
+    this.#enterStage('winding_up');
   }
 
   /**
-   * Says of everything that is still open whether it was sent, and ends the connections once all has been read. Resolves when
-   * they have ended; the caller bounds the wait, and calls {@link GatewayServer.close} after it.
+   * Reports for each open loan whether its requests were sent to the member, and closes the connections once
+   * the borrowers have read everything. Resolves when they are closed; the caller must bound the wait and
+   * then call {@link GatewayServer.close}.
    */
   async finish(): Promise<void> {
-    this.#enter('winding_up');
+    this.#enterStage('winding_up');
     this.#server.close();
     for (const loan of this.#loans()) loan.finish();
     this.#isFinished = true;
@@ -85,28 +94,28 @@
     await Promise.all(ends);
   }
 
-  /** The life of a member has ended: loans of its connections end with it. */
+  /** Ends the loans from a pool whose member's incarnation has ended. */
   endLoans(pool: LinkPool): void {
-    for (const loan of this.#loans()) loan.memberEnded(pool);
+    for (const loan of this.#loans()) loan.endIfUsing(pool);
   }
 
-  /** Ends everything at once. */
+  /** Closes the server and all connections at once. */
   close(): void {
     this.#server.close();
     for (const channel of this.#channels.keys()) channel.destroy();
   }
 
-  #enter(stage: LendingStage): void {
+  #enterStage(stage: LendingStage): void {
     this.#stage = stage;
     for (const loan of this.#loans()) loan.stageChanged();
   }
 
-  /** A copy: loans that end leave their channel. */
+  /** A copy, since loans are removed from their channel's map when they end. */
   #loans(): readonly Loan[] {
     return [...this.#channels.values()].flatMap((loans) => [...loans.values()]);
   }
 
-  #lend(channel: MessageChannel<GatewayMessage>, loans: Map<number, Loan>, terms: BorrowMessage): void {
+  #openLoan(channel: MessageChannel<GatewayMessage>, loans: Map<number, Loan>, terms: BorrowMessage): void {
     const { groupName, memberId, bornMs = null } = terms;
     const loan = new Loan({
       terms,
@@ -140,11 +149,11 @@
     if (this.#isFinished) return;
     switch (message.type) {
       case 'borrow':
-        this.#lend(channel, loans, message);
+        this.#openLoan(channel, loans, message);
         break;
       case 'values':
       case 'request':
-        loans.get(message.loan)?.push(message);
+        loans.get(message.loan)?.enqueue(message);
         break;
       case 'return':
         loans.get(message.loan)?.end();
--- a/src/gateway/loan.ts
+++ b/src/gateway/loan.ts
@@ -1,5 +1,5 @@
 /**
- * One use of a member connection by another daemon, at the gateway that lends it.
+ * One use of a member connection by another daemon, as handled by the gateway that lends it.
  *
  * @packageDocumentation
  */
@@ -12,30 +12,30 @@
 import type { StatusQuestions } from './status-questions.js';
 
 /**
- * How far a gateway is with its stop. `leaving`: nobody waits for a connection any more. `winding_up`: what rests in a
- * transaction is ended too, and nothing new is taken.
+ * Shutdown stage of a gateway. `leaving`: no loan may wait for a connection. `winding_up`: in addition, loans
+ * that are idle in a transaction are ended, and no loan gets a connection.
  */
 export type LendingStage = 'lending' | 'leaving' | 'winding_up';
 
-/** What a loan needs. */
+/** Parameters and callbacks of a loan. */
 export interface LoanOptions {
   readonly terms: BorrowMessage;
-  /** The pool of the member, or `null` where this daemon does not connect to it. */
+  /** The pool of the member; `null` if this daemon does not connect to it. */
   readonly pool: LinkPool | null;
   readonly statusQuestions: StatusQuestions;
-  /** How far the gateway is now. */
+  /** The gateway's current stage. */
   stage(): LendingStage;
   answer(message: GatewayMessage): void;
-  /** Told when the loan has ended at this end; what still comes for it is to be thrown away. */
+  /** Called when the loan was ended by this gateway; later messages for it are to be discarded. */
   onLost(): void;
 }
 
-const STOPPING = 'the gateway is about to stop';
+const GATEWAY_STOPPING = 'the gateway is about to stop';
 const MEMBER_ENDED = 'the member has ended';
-const NO_GATEWAY = 'not a gateway of the member';
+const NOT_A_GATEWAY = 'not a gateway of the member';
 
-/** An answer that says that nothing was sent to the member. */
-export function notSent(reason: string): MemberReply {
+/** A reply stating that nothing was sent to the member. */
+export function notSentReply(reason: string): MemberReply {
   return {
     rows: [],
     result: { isComplete: false, code: 'busy', text: reason },
@@ -44,74 +44,81 @@
   };
 }
 
-/** A loan. Its messages are handled in order. */
+/** Processes the messages of one loan in order. */
 export class Loan {
   readonly #queue: (ValuesMessage | LoanRequestMessage)[] = [];
   #values: SessionValues = new Map();
   #wait: LinkWait<LinkPool> | null = null;
   #link: PooledLink | null = null;
-  #isWorking = false;
-  /** The member has been sent a request of the loan, and owes the answer. */
-  #isAtMember = false;
-  #isOver = false;
+  #isProcessing = false;
+  /** True while a request has been sent to the member and its reply has not arrived. */
+  #isRequestInFlight = false;
+  #hasEnded = false;
 
   constructor(private readonly options: LoanOptions) {}
 
-  /** Takes a message. */
-  push(message: ValuesMessage | LoanRequestMessage): void {
-    if (this.#isOver) return;
+  /** Queues a message and starts processing if necessary. */
+  enqueue(message: ValuesMessage | LoanRequestMessage): void {
+    if (this.#hasEnded) return;
     this.#queue.push(message);
-    if (!this.#isWorking) void this.#work();
+    if (!this.#isProcessing) void this.#processQueue();
   }
 
-  /** The other daemon needs it no more, or has gone. */
+  /** Ends the loan because the borrower returned it or disconnected. */
   end(): void {
-    this.#isOver = true;
+    this.#hasEnded = true;
     this.#queue.length = 0;
     this.#wait?.cancel();
-    this.#giveBack();
+    this.#releaseLink();
   }
 
-  /** Does what the gateway's stage asks for, unless a request is being run: then that is done after its answer. */
+  /**
+   * Applies the gateway's new stage: cancels a wait, or ends an idle loan. A request in progress is completed
+   * first.
+   */
   stageChanged(): void {
     if (this.options.stage() !== 'lending') this.#wait?.cancel();
-    if (!this.#isWorking) this.#endIfResting();
+    if (!this.#isProcessing) this.#endIfIdle();
   }
 
-  /** The life of the member behind a pool has ended. Whoever only waits is told by the pool. */
-  memberEnded(pool: LinkPool): void {
-    if (this.options.pool === pool && this.#link !== null) this.#lose(MEMBER_ENDED, !this.#isAtMember);
+  /**
+   * Ends the loan if it holds a connection of a pool whose member's incarnation has ended. The pool itself
+   * fails waiting loans.
+   */
+  endIfUsing(pool: LinkPool): void {
+    if (this.options.pool === pool && this.#link !== null)
+      this.#endAsLost(MEMBER_ENDED, !this.#isRequestInFlight);
   }
 
-  /** Ends the loan at the last moment, whatever is under way. */
+  /** Ends the loan at once, even if a request is in flight. */
   finish(): void {
-    this.#lose(STOPPING, !this.#isAtMember);
+    this.#endAsLost(GATEWAY_STOPPING, !this.#isRequestInFlight);
   }
 
-  async #work(): Promise<void> {
-    this.#isWorking = true;
+  async #processQueue(): Promise<void> {
+    this.#isProcessing = true;
     for (let message = this.#queue.shift(); message !== undefined; message = this.#queue.shift()) {
       if (message.type === 'values') this.#values = new Map(message.values);
       else if (message.request.kind === 'status' && this.#link === null) await this.#serveStatus();
       else await this.#serve(message);
     }
-    this.#isWorking = false;
+    this.#isProcessing = false;
   }
 
   async #serveStatus(): Promise<void> {
     if (this.options.pool === null) {
-      this.#reply(notSent(NO_GATEWAY));
+      this.#reply(notSentReply(NOT_A_GATEWAY));
       return;
     }
     try {
       this.#reply(await this.options.statusQuestions.ask(this.options.pool));
     } catch (error) {
-      this.#reply(notSent(`gateway: ${String(error)}`));
+      this.#reply(notSentReply(`gateway: ${String(error)}`));
     }
   }
 
   async #serve(message: LoanRequestMessage): Promise<void> {
-    const link = this.#link ?? (await this.#take());
+    const link = this.#link ?? (await this.#acquireLink());
     if (link === null) return;
     const wasIdle = link.state === 'idle';
     let { request } = message;
@@ -120,31 +127,34 @@
       if (request.kind === 'execute' && message.prepared !== null)
         request = { ...request, name: await link.prepare(message.prepared) };
     } catch (error) {
-      this.#giveBack();
-      if (wasIdle) this.#reply(notSent(`gateway: ${String(error)}`));
-      else this.#lose(error, true);
+      this.#releaseLink();
+      if (wasIdle) this.#reply(notSentReply(`gateway: ${String(error)}`));
+      else this.#endAsLost(error, true);
       return;
     }
     if (this.#link !== link) return;
     try {
-      this.#isAtMember = true;
+      this.#isRequestInFlight = true;
       const reply = await link.send(request);
-      if (link.isClean) this.#giveBack();
+      if (link.isClean) this.#releaseLink();
       this.#reply(reply);
-      this.#endIfResting();
+      this.#endIfIdle();
     } catch (error) {
-      this.#lose(error, error instanceof NotSentError);
+      this.#endAsLost(error, error instanceof NotSentError);
     } finally {
-      this.#isAtMember = false;
+      this.#isRequestInFlight = false;
     }
   }
 
-  /** A connection for the requests that follow, or `null` after saying that there is none. */
-  async #take(): Promise<PooledLink | null> {
+  /**
+   * Acquires a connection for the following requests; replies that nothing was sent and returns `null` if
+   * there is none.
+   */
+  async #acquireLink(): Promise<PooledLink | null> {
     const { pool, terms } = this.options;
-    const obstacle = this.#obstacle();
-    if (pool === null || obstacle !== null) {
-      this.#reply(notSent(`gateway: ${obstacle ?? NO_GATEWAY}`));
+    const refusalReason = this.#refusalReason();
+    if (pool === null || refusalReason !== null) {
+      this.#reply(notSentReply(`gateway: ${refusalReason ?? NOT_A_GATEWAY}`));
       return null;
     }
     const { tenantName, priority, waitMs } = terms;
@@ -155,36 +165,39 @@
     );
     this.#wait = wait;
     wait.joinAll([{ place: pool, member: pool }]);
-    // Whoever waited until the end of the process would not learn that nothing was sent.
+    // A borrower left waiting until the process ends would not learn that nothing was sent.
     if (this.options.stage() !== 'lending') wait.cancel();
     try {
       const link = (await wait.granted).link as PooledLink;
-      if (this.#isOver) {
+      if (this.#hasEnded) {
         pool.release(link);
         return null;
       }
       this.#link = link;
       return link;
     } catch (error) {
-      this.#reply(notSent(`gateway: ${String(error)}`));
+      this.#reply(notSentReply(`gateway: ${String(error)}`));
       return null;
     } finally {
       this.#wait = null;
     }
   }
 
-  /** Why no connection is taken at all, or `null`. */
-  #obstacle(): string | null {
-    if (this.options.stage() === 'winding_up') return STOPPING;
+  /** The reason for which no connection may be acquired, or `null`. */
+  #refusalReason(): string | null {
+    if (this.options.stage() === 'winding_up') return GATEWAY_STOPPING;
     return this.options.pool?.isShut === true ? 'the member has too many connections' : null;
   }
 
-  /** A borrower that learns before its next request that nothing of the transaction is kept need not send it. */
-  #endIfResting(): void {
-    if (this.options.stage() === 'winding_up' && this.#link !== null) this.#lose(STOPPING, true);
+  /**
+   * While winding up, ends a loan that still holds a connection between requests, so that the borrower learns
+   * of the rollback before it sends the next request.
+   */
+  #endIfIdle(): void {
+    if (this.options.stage() === 'winding_up' && this.#link !== null) this.#endAsLost(GATEWAY_STOPPING, true);
   }
 
-  #giveBack(): void {
+  #releaseLink(): void {
     const link = this.#link;
     this.#link = null;
     if (link === null) return;
@@ -193,12 +206,15 @@
   }
 
   #reply(reply: MemberReply): void {
-    if (!this.#isOver) this.options.answer({ type: 'reply', loan: this.options.terms.loan, reply });
+    if (!this.#hasEnded) this.options.answer({ type: 'reply', loan: this.options.terms.loan, reply });
   }
 
-  /** Says that the loan is over. Requests that have not been answered, or are still to come, are not run after this. */
-  #lose(error: unknown, isUnsent: boolean): void {
-    if (this.#isOver) return;
+  /**
+   * Ends the loan and reports this to the borrower. Requests that are unanswered or still to come are not run
+   * after this.
+   */
+  #endAsLost(error: unknown, isUnsent: boolean): void {
+    if (this.#hasEnded) return;
     this.options.answer({ type: 'lost', loan: this.options.terms.loan, reason: String(error), isUnsent });
     this.end();
     this.options.onLost();
