--- a/src/cluster/daemon-ends.test.ts
+++ b/src/cluster/absence-tracker.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { toLocalAbsence, AbsenceTracker, endedBefore } from './daemon-ends.js';
+import { toLocalAbsence, AbsenceTracker, predecessorExitMs } from './absence-tracker.js';
 
 const ADDRESS = '10.1.0.8:7440';
 
@@ -25,8 +25,8 @@
 
 test('the earlier process had exited by the first refusal if the current one started soon after the last', () => {
   const absence = { sinceMs: 1000, lastMs: 1600 };
-  assert.equal(endedBefore(absence, 1900), 1000);
-  assert.equal(endedBefore(absence, 2400), null);
+  assert.equal(predecessorExitMs(absence, 1900), 1000);
+  assert.equal(predecessorExitMs(absence, 2400), null);
 });
 
 test('an absence that ended before the cut-off is discarded', () => {
--- a/src/cluster/daemon-ends.ts
+++ b/src/cluster/absence-tracker.ts
@@ -99,6 +99,6 @@
  *
  * @param beganMs - when the current process was at the address already
  */
-export function endedBefore({ sinceMs, lastMs }: Absence, beganMs: number): number | null {
+export function predecessorExitMs({ sinceMs, lastMs }: Absence, beganMs: number): number | null {
   return beganMs - lastMs < MAX_REFUSAL_GAP_MS ? sinceMs : null;
 }
--- a/src/cluster/duty-turn.ts
+++ b/src/cluster/duty-claim-delay.ts
@@ -18,7 +18,7 @@
 const MAX_CLAIM_DELAY_MS = 1500;
 
 /** How long a daemon waits before it claims a vacant duty, in milliseconds. */
-export function dutyTurnMs(name: string, daemons: readonly DaemonRecord[]): number {
+export function dutyClaimDelayMs(name: string, daemons: readonly DaemonRecord[]): number {
   const rank = rankOf('duty', daemons, name);
   if (rank < 0) return 0;
   return Math.min(MAX_CLAIM_DELAY_MS, Math.max(0, rank + 1 - IMMEDIATE_CLAIMANTS) * CLAIM_INTERVAL_MS);
--- a/src/cluster/lost-records.ts
+++ b/src/cluster/lost-records.ts
@@ -26,7 +26,7 @@
   /** Daemons that this daemon knows, whether or not the store has their records. */
   known(): readonly DaemonRecord[];
   /** True if this daemon's copy of the store has a record of that name. */
-  stands(name: string): boolean;
+  isStored(name: string): boolean;
   keyOf(name: string): string;
   /** A random number in 0..1. */
   random(): number;
@@ -42,7 +42,7 @@
   constructor(private readonly ports: LostRecordsPorts) {}
 
   /** Notes the era of the local copy of the store; true when it is later than at the last check. */
-  isDue(era: number): boolean {
+  observeEra(era: number): boolean {
     const lastSeenEra = this.#lastSeenEra;
     this.#lastSeenEra = era;
     return lastSeenEra !== null && era > lastSeenEra;
@@ -55,7 +55,7 @@
     await sleep((0.5 + random() / 2) * MAX_RESTORE_DELAY_MS);
     for (const record of this.ports.known()) {
       if (store.era.current !== era) return;
-      if (record.name !== this.ports.ownName && !this.ports.stands(record.name)) await this.#write(record);
+      if (record.name !== this.ports.ownName && !this.ports.isStored(record.name)) await this.#write(record);
     }
   }
 
--- a/src/cluster/order-delivery.test.ts
+++ b/src/cluster/order-delivery.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import {
-  EVIDENCE_MS,
+  EVIDENCE_VALIDITY_MS,
   LeadershipEvidence,
   REGISTRATION_SETTLE_MS,
 } from '../leadership/leadership-evidence.js';
@@ -30,8 +30,8 @@
     sent,
     ports: {
       known: () => [daemon('d1'), daemon('d2')],
-      readRegister: register,
-      isRegisterBehind: () => false,
+      readRegistry: register,
+      isRegistryIncomplete: () => false,
       send: (records) => {
         sent.push(...records.map(({ host }) => host));
         return Promise.resolve(new Map(records.map(({ name }) => [name, ANSWERED])));
@@ -61,7 +61,7 @@
    */
   test('counts as unanswered by one daemon while the registry may be incomplete', async () => {
     const { ports: given, sent } = ports(() => Promise.resolve([daemon('new')]));
-    const outcomes = await deliverOrder({ ...given, isRegisterBehind: () => true }, REVOKE, 200);
+    const outcomes = await deliverOrder({ ...given, isRegistryIncomplete: () => true }, REVOKE, 200);
     assert.deepEqual(sent, ['d1', 'd2', 'new'], 'registered daemons receive the order all the same');
     assert.ok([...outcomes.values()].some(({ kind }) => kind === 'silent'));
   });
@@ -83,46 +83,46 @@
 describe('a daemon that registers', () => {
   test('while the store may lack its record is assumed to have had an earlier process', () => {
     const registration = new Registration(daemon('d1'));
-    registration.firstLook(new Map(), 0, { unreadable: new Set(), isBehind: true });
+    registration.applyInitialRecords(new Map(), 0, { unreadable: new Set(), isIncomplete: true });
     assert.equal(registration.hasPredecessor, true);
-    registration.firstLook(new Map(), 0);
+    registration.applyInitialRecords(new Map(), 0);
     assert.equal(registration.hasPredecessor, false);
   });
 
   test('counts evidence only once every duty holder is certain to know it', () => {
     const registration = new Registration(daemon('d1'));
-    registration.firstLook(new Map(), 0);
+    registration.applyInitialRecords(new Map(), 0);
     assert.equal(registration.countsFromMs, Number.POSITIVE_INFINITY);
-    registration.registered(5000);
+    registration.markRegistered(5000);
     assert.equal(registration.countsFromMs, 5000 + REGISTRATION_SETTLE_MS);
-    registration.registered(9000);
+    registration.markRegistered(9000);
     assert.equal(registration.countsFromMs, 5000 + REGISTRATION_SETTLE_MS);
   });
 
   test('counts as known at once at the address of an earlier process, but not at another address', () => {
     const same = new Registration(daemon('d1'));
-    same.firstLook(new Map([['d1', daemon('d1')]]), 4000);
+    same.applyInitialRecords(new Map([['d1', daemon('d1')]]), 4000);
     assert.equal(same.countsFromMs, 4000, 'orders reach it already');
-    same.registered(5000);
+    same.markRegistered(5000);
     assert.equal(same.countsFromMs, 4000);
     const moved = new Registration(daemon('d1', 'elsewhere'));
-    moved.firstLook(new Map([['d1', daemon('d1')]]), 4000);
+    moved.applyInitialRecords(new Map([['d1', daemon('d1')]]), 4000);
     assert.equal(moved.countsFromMs, Number.POSITIVE_INFINITY);
-    moved.registered(5000);
+    moved.markRegistered(5000);
     assert.equal(moved.countsFromMs, 5000 + REGISTRATION_SETTLE_MS);
   });
 
   test('right after the registry was read holds no evidence from before the pauses, if those were in time', () => {
     const readAtMs = 1000;
     const registration = new Registration(daemon('new'));
-    registration.firstLook(new Map(), 0);
-    registration.registered(readAtMs + 1);
+    registration.applyInitialRecords(new Map(), 0);
+    registration.markRegistered(readAtMs + 1);
     const evidence = new LeadershipEvidence(() => registration.countsFromMs);
-    evidence.believe({ memberId: 'a', term: 3 });
+    evidence.observeLeader({ memberId: 'a', term: 3 });
     const lastPauseMs = readAtMs + REGISTRATION_SETTLE_MS;
     for (let askedAtMs = readAtMs; askedAtMs <= lastPauseMs; askedAtMs += 10)
-      evidence.witness(3, 0, askedAtMs);
+      evidence.recordWitness(3, 0, askedAtMs);
     assert.equal(evidence.current(lastPauseMs), null);
-    assert.ok(evidence.validUntilMs < lastPauseMs + EVIDENCE_MS);
+    assert.ok(evidence.validUntilMs < lastPauseMs + EVIDENCE_VALIDITY_MS);
   });
 });
--- a/src/cluster/order-delivery.ts
+++ b/src/cluster/order-delivery.ts
@@ -28,11 +28,11 @@
   /** Daemons that this daemon knows. */
   known(): readonly DaemonRecord[];
   /** Daemons with a live lease, read from the store itself. */
-  readRegister(): Promise<readonly DaemonRecord[]>;
+  readRegistry(): Promise<readonly DaemonRecord[]>;
   /**
    * True while the registry may lack running daemons, because the store was recently restored from a backup.
    */
-  isRegisterBehind(): boolean;
+  isRegistryIncomplete(): boolean;
   send(records: readonly DaemonRecord[], order: HolderOrder, timeoutMs: number): Promise<OrderOutcomes>;
 }
 
@@ -58,10 +58,12 @@
   order: HolderOrder,
   timeoutMs: number,
 ): Promise<OrderOutcomes> {
-  const reading = ports.readRegister().catch(() => null);
+  const reading = ports.readRegistry().catch(() => null);
   const registered = await Promise.race([reading, delay(REGISTRY_TIMEOUT_MS).then(() => null)]);
   if (registered === null) return new Map([[UNREAD_DAEMONS, { kind: 'silent' }]]);
   const unknown = registered.filter((record) => !known.some((other) => hasSameAddress(record, other)));
   const outcomes = await ports.send(unknown, order, timeoutMs);
-  return ports.isRegisterBehind() ? new Map([...outcomes, [UNREAD_DAEMONS, { kind: 'silent' }]]) : outcomes;
+  return ports.isRegistryIncomplete()
+    ? new Map([...outcomes, [UNREAD_DAEMONS, { kind: 'silent' }]])
+    : outcomes;
 }
--- a/src/cluster/peer-mesh.test.ts
+++ b/src/cluster/peer-mesh.test.ts
@@ -28,9 +28,9 @@
 const disconnectedHosts: string[] = [];
 const LISTENER = {
   daemonEnded: (name: string) => void endedDaemons.push(name),
-  holderLeft: (host: string) => void disconnectedHosts.push(host),
-  order: () => ({ latest: { term: 0, index: 0 }, limit: null }),
-  suspicion: () => undefined,
+  holderDisconnected: (host: string) => void disconnectedHosts.push(host),
+  handleOrder: () => ({ latest: { term: 0, index: 0 }, limit: null }),
+  handleSuspicion: () => undefined,
   ownEvidence: () => ({ version: 0, leaders: null, agesMs: [] }),
 };
 
@@ -69,7 +69,7 @@
   const REST_MS = 900;
   await new Promise((resolve) => setTimeout(resolve, REST_MS));
   const orderedAtMs = performance.now();
-  const outcomes: ReadonlyMap<string, OrderOutcome> = await mesh.order(
+  const outcomes: ReadonlyMap<string, OrderOutcome> = await mesh.sendOrder(
     [other],
     { kind: 'revoke', groupName: 'g', term: 1 },
     100,
@@ -106,8 +106,8 @@
   const next = meshOf(record('next', nextPort));
   const records = [record('former', formerPort), other];
   const order = { kind: 'revoke', groupName: 'g', term: 1 } as const;
-  await next.order(records, order, 1000);
-  const outcome = (await next.order(records, order, 1000)).get('other');
+  await next.sendOrder(records, order, 1000);
+  const outcome = (await next.sendOrder(records, order, 1000)).get('other');
   assert.equal(outcome?.kind, 'gone');
   assert.ok(outcome.absence && outcome.absence.sinceMs < seenAtMs + LATER_MS / 2);
 });
@@ -127,18 +127,18 @@
   await holderMesh.listen(HOST, holder.port);
   await watcherMesh.listen(HOST, watcher.port);
   const order = { kind: 'revoke', groupName: 'g', term: 1 } as const;
-  await holderMesh.order([watcher], order, 1000);
+  await holderMesh.sendOrder([watcher], order, 1000);
   disconnectedHosts.length = 0;
   holderMesh.close();
   await waitUntil('the end of the connection', () => disconnectedHosts.length === 1);
   assert.deepEqual(disconnectedHosts, [HOST]);
   const seenAtMs = performance.now();
-  void watcherMesh.lookForEnd(holder);
+  void watcherMesh.probeForEnd(holder);
   const LATER_MS = 500;
   await new Promise((resolve) => setTimeout(resolve, LATER_MS));
   const records = [holder, watcher];
-  await nextMesh.order(records, order, 1000);
-  const outcome = (await nextMesh.order(records, order, 1000)).get(holder.name);
+  await nextMesh.sendOrder(records, order, 1000);
+  const outcome = (await nextMesh.sendOrder(records, order, 1000)).get(holder.name);
   assert.equal(outcome?.kind, 'gone');
   assert.ok(outcome.absence && outcome.absence.sinceMs < seenAtMs + LATER_MS / 2);
 });
@@ -152,7 +152,7 @@
   const otherMesh = meshOf(other);
   await otherMesh.listen(HOST, other.port);
   disconnectedHosts.length = 0;
-  await proberMesh.lookForEnd(other);
+  await proberMesh.probeForEnd(other);
   assert.equal(await proberMesh.isGone(other), false);
   await new Promise((resolve) => setTimeout(resolve, 100));
   assert.deepEqual(disconnectedHosts, []);
--- a/src/cluster/peer-mesh.ts
+++ b/src/cluster/peer-mesh.ts
@@ -13,11 +13,11 @@
   PROBE_TIMEOUT_MS,
   type Absence,
   type ReportedAbsence,
-} from './daemon-ends.js';
+} from './absence-tracker.js';
 import type { DaemonRecord } from './daemon-record.js';
-import { EvidenceReader, type EvidenceAnswer, type SharedEvidence } from '../leadership/evidence-exchange.js';
+import { EvidenceReader, type EvidenceReply, type SharedEvidence } from '../leadership/evidence-exchange.js';
 import { MessageChannel } from '../peer/message-channel.js';
-import type { LastLed } from '../leadership/last-led.js';
+import type { LastLeader } from '../leadership/last-leader.js';
 import type { OpenCall } from '../leadership/open-calls.js';
 import type { Position } from '../position/position.js';
 import type { Acknowledged } from '../leadership/acknowledged.js';
@@ -59,7 +59,7 @@
    */
   readonly countedMs?: number;
   /** The last leader that the daemon knows of; a duty holder that has just started knows of none. */
-  readonly lastLed?: LastLed;
+  readonly lastLed?: LastLeader;
   /** A call to the platform that was announced to the daemon and may still take effect. */
   readonly openCall?: OpenCall;
   /**
@@ -109,24 +109,24 @@
 
 type MeshMessage =
   | { readonly type: 'ask_evidence'; readonly id: number; readonly knownVersion: number }
-  | { readonly type: 'evidence'; readonly id: number; readonly answer: EvidenceAnswer }
+  | { readonly type: 'evidence'; readonly id: number; readonly answer: EvidenceReply }
   | { readonly type: 'order'; readonly id: number; readonly order: HolderOrder }
   | { readonly type: 'answer'; readonly id: number; readonly answer: OrderAnswer }
   | { readonly type: 'suspicion'; readonly suspicion: Suspicion };
 
 /** Callbacks of the mesh. */
 export interface MeshListener {
-  order(order: HolderOrder): OrderAnswer;
-  suspicion(suspicion: Suspicion): void;
+  handleOrder(order: HolderOrder): OrderAnswer;
+  handleSuspicion(suspicion: Suspicion): void;
   /**
    * Evidence that this daemon has collected itself, for a peer that knows the given version of the list of
    * leaders.
    */
-  ownEvidence(knownVersion: number): EvidenceAnswer;
+  ownEvidence(knownVersion: number): EvidenceReply;
   /** The process of a daemon that receives orders from this one was just observed to have exited. */
   daemonEnded(name: string): void;
   /** A daemon that has sent orders to this one has closed its connection. */
-  holderLeft(host: string): void;
+  holderDisconnected(host: string): void;
 }
 
 const MAX_MESSAGE_BYTES = 64 * 1024;
@@ -232,7 +232,7 @@
   }
 
   #receive(message: MeshMessage): void {
-    if (message.type === 'suspicion') this.listener.suspicion(message.suspicion);
+    if (message.type === 'suspicion') this.listener.handleSuspicion(message.suspicion);
     if (message.type === 'ask_evidence')
       this.#channel?.send({
         type: 'evidence',
@@ -303,14 +303,14 @@
    * Probes whether a daemon's process has exited, until one listens there again. The next duty holder asks
    * for the result.
    */
-  async lookForEnd(record: DaemonRecord): Promise<void> {
+  async probeForEnd(record: DaemonRecord): Promise<void> {
     const connection = new PeerConnection(record, this.self.host, this.listener, this.#absences);
     await connection.probeForEnd();
     connection.close();
   }
 
   /** Sends an order to all other daemons and collects the outcomes. */
-  async order(
+  async sendOrder(
     records: readonly DaemonRecord[],
     order: HolderOrder,
     timeoutMs: number,
@@ -343,7 +343,7 @@
   }
 
   /** Reports a suspicion to the duty holder. */
-  suspect(suspicion: Suspicion): void {
+  reportSuspicion(suspicion: Suspicion): void {
     for (const channel of this.#inbound.keys()) channel.send({ type: 'suspicion', suspicion });
   }
 
@@ -411,13 +411,13 @@
         if (message.type === 'evidence') this.#settleEvidenceRequest(message.id, reader.read(message.answer));
         if (message.type !== 'order') return;
         hasOrdered = true;
-        const answer = { ...this.listener.order(message.order), ...this.#reportAbsences() };
+        const answer = { ...this.listener.handleOrder(message.order), ...this.#reportAbsences() };
         channel.send({ type: 'answer', id: message.id, answer });
       },
       closed: () => {
         this.#inbound.delete(channel);
         // A connection without orders was only a probe whether this daemon runs, and not from a duty holder.
-        if (hasOrdered && !this.#isClosed) this.listener.holderLeft(host);
+        if (hasOrdered && !this.#isClosed) this.listener.holderDisconnected(host);
       },
     });
     this.#inbound.set(channel, reader);
--- a/src/cluster/registration.ts
+++ b/src/cluster/registration.ts
@@ -12,10 +12,10 @@
   /** Names of daemons whose records cannot be parsed. */
   readonly unreadable: ReadonlySet<string>;
   /** True while the store may lack records, because it was recently restored from a backup. */
-  readonly isBehind: boolean;
+  readonly isIncomplete: boolean;
 }
 
-const NO_GAPS: RegistryGaps = { unreadable: new Set(), isBehind: false };
+const NO_GAPS: RegistryGaps = { unreadable: new Set(), isIncomplete: false };
 
 /** State of a daemon's own record in the store. */
 export class Registration {
@@ -52,10 +52,10 @@
    *
    * @param gaps - known gaps in the records
    */
-  firstLook(
+  applyInitialRecords(
     registered: ReadonlyMap<string, DaemonRecord>,
     nowMs: number,
-    { unreadable, isBehind }: RegistryGaps = NO_GAPS,
+    { unreadable, isIncomplete: isBehind }: RegistryGaps = NO_GAPS,
   ): void {
     const { name } = this.self;
     const earlier = registered.get(name);
@@ -65,7 +65,7 @@
   }
 
   /** The store has accepted this daemon's record. */
-  registered(nowMs: number): void {
+  markRegistered(nowMs: number): void {
     if (Number.isFinite(this.#countsFromMs)) return;
     this.#countsFromMs = nowMs + REGISTRATION_SETTLE_MS;
   }
--- a/src/coordination/foreign-keys.test.ts
+++ b/src/coordination/foreign-keys.test.ts
@@ -88,7 +88,7 @@
   test('that cannot be read shows that there was an earlier process, which may have acknowledged commits', () => {
     const { registered, unreadable } = readDaemons(itemsOf([['sorrelladder/daemons/d1', json(null)]]));
     const registration = new Registration(RECORD);
-    registration.firstLook(registered, 0, { unreadable, isBehind: false });
+    registration.applyInitialRecords(registered, 0, { unreadable, isIncomplete: false });
     assert.equal(registration.hasPredecessor, true);
     assert.equal(registration.countsFromMs, Number.POSITIVE_INFINITY);
   });
--- a/src/gateway/assignments.ts
+++ b/src/gateway/assignments.ts
@@ -72,29 +72,29 @@
     if (!isAssigned(assignment, this.options.ownName)) return 0;
     return Math.max(
       1,
-      Math.floor(this.isYoung ? assignment.budget * STARTUP_BUDGET_SHARE : assignment.budget),
+      Math.floor(this.isStartingUp ? assignment.budget * STARTUP_BUDGET_SHARE : assignment.budget),
     );
   }
 
   /** True during the startup period of this daemon. */
-  get isYoung(): boolean {
+  get isStartingUp(): boolean {
     return this.options.now() - this.options.startedAtMs() < STARTUP_PERIOD_MS;
   }
 
   /** True if this daemon is one of those that connect to a member. */
-  connects(entry: MemberEntry): boolean {
+  isAssigned(entry: MemberEntry): boolean {
     return isAssigned(this.of(entry), this.options.ownName);
   }
 
   /** True if this daemon lends connections to a member to other daemons. */
   isGateway(entry: MemberEntry): boolean {
-    return this.of(entry).gateways !== null && this.connects(entry);
+    return this.of(entry).gateways !== null && this.isAssigned(entry);
   }
 
   #assign({ memberId, groupName, zone, slots }: MemberEntry): Assignment {
     const limit = this.options.connectionLimit(groupName);
     const connections = Math.max(1, Math.min(limit - RESERVED_CONNECTIONS, slots * CONNECTIONS_PER_SLOT));
-    const daemons = this.options.daemons(this.isYoung);
+    const daemons = this.options.daemons(this.isStartingUp);
     if (daemons.length === 0) return UNASSIGNED;
     const hasTenants = this.options.hasTenants();
     return assignGateways(daemons, { memberId, zone, connections, hasTenants });
--- a/src/gateway/gateway-client.test.ts
+++ b/src/gateway/gateway-client.test.ts
@@ -105,11 +105,11 @@
     isPassedOn: false,
     hasHomeRetired: false,
   };
-  assert.equal(await client.askGrant(unresponsive, request, 20), null);
+  assert.equal(await client.requestGrant(unresponsive, request, 20), null);
   clock.now = 500;
   const startMs = performance.now();
-  assert.equal(await client.askGrant(unresponsive, request, 60_000), null);
-  assert.equal(await client.askConfiguration(unresponsive, 0, 60_000), null);
+  assert.equal(await client.requestGrant(unresponsive, request, 60_000), null);
+  assert.equal(await client.requestConfiguration(unresponsive, 0, 60_000), null);
   assert.ok(performance.now() - startMs < 10_000);
   client.close();
   server.close();
--- a/src/gateway/gateway-client.ts
+++ b/src/gateway/gateway-client.ts
@@ -9,7 +9,7 @@
 import { EvidenceReader, type SharedEvidence } from '../leadership/evidence-exchange.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
 import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
-import type { PassedChanges } from '../coordination/change-relay.js';
+import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import { MessageChannel } from '../peer/message-channel.js';
 import { BorrowedLink } from './borrowed-link.js';
@@ -52,7 +52,7 @@
 /** The reply to a {@link PeerRequest}; `null` if none arrived in time. */
 type PeerReply =
   | { readonly type: 'evidence'; readonly entries: readonly SharedEvidence[] }
-  | { readonly type: 'changes'; readonly answer: PassedChanges }
+  | { readonly type: 'changes'; readonly answer: RelayResponse }
   | { readonly type: 'configuration'; readonly answer: PassedConfiguration }
   | { readonly type: 'grant'; readonly grant: Grant | null }
   | null;
@@ -284,18 +284,18 @@
   }
 
   /** The leadership evidence that a daemon holds; `null` if it does not reply in time. */
-  async askEvidence(record: DaemonRecord, timeoutMs: number): Promise<readonly SharedEvidence[] | null> {
+  async requestEvidence(record: DaemonRecord, timeoutMs: number): Promise<readonly SharedEvidence[] | null> {
     const reply = await this.#request(record, { type: 'ask_evidence' }, timeoutMs);
     return reply?.type === 'evidence' ? reply.entries : null;
   }
 
   /** The changes of the store that a daemon knows; `null` if it does not reply in time. */
-  async askChanges(
+  async requestChanges(
     record: DaemonRecord,
     afterRevision: Revision,
     waitMs: number,
     timeoutMs: number,
-  ): Promise<PassedChanges | null> {
+  ): Promise<RelayResponse | null> {
     const reply = await this.#request(record, { type: 'ask_changes', afterRevision, waitMs }, timeoutMs);
     return reply?.type === 'changes' ? reply.answer : null;
   }
@@ -303,7 +303,7 @@
   /**
    * A daemon's knowledge of the newest configuration; `null` if it is unresponsive or does not reply in time.
    */
-  async askConfiguration(
+  async requestConfiguration(
     record: DaemonRecord,
     heldVersion: number,
     timeoutMs: number,
@@ -317,7 +317,7 @@
    * The operations that a daemon grants; `null` if it is unresponsive, does not reply in time, or is not
    * responsible for the tenant's quota.
    */
-  async askGrant(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null> {
+  async requestGrant(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null> {
     if (this.#isUnresponsive(record)) return null;
     const reply = await this.#request(record, { type: 'ask_grant', request }, timeoutMs);
     return reply?.type === 'grant' ? reply.grant : null;
--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -7,12 +7,12 @@
  *
  * @packageDocumentation
  */
-import type { EvidenceAnswer } from '../leadership/evidence-exchange.js';
-import type { PassedChanges } from '../coordination/change-relay.js';
+import type { EvidenceReply } from '../leadership/evidence-exchange.js';
+import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import type { MemberReply, MemberRequest } from '../relay/member-link.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
-import type { PreparedShape } from '../relay/statement.js';
+import type { PreparedStatement } from '../relay/statement.js';
 import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
 
 /** Starts a loan; nothing is sent to the member yet. */
@@ -46,7 +46,7 @@
   readonly loan: number;
   readonly request: MemberRequest;
   /** The statement to prepare before an `execute`. */
-  readonly prepared: PreparedShape | null;
+  readonly prepared: PreparedStatement | null;
 }
 
 /** Ends a loan; an open transaction is rolled back. */
@@ -106,7 +106,7 @@
 export interface EvidenceReplyMessage {
   readonly type: 'evidence';
   readonly id: number;
-  readonly answer: EvidenceAnswer;
+  readonly answer: EvidenceReply;
 }
 
 /** Requests the changes of the store after a revision. */
@@ -122,7 +122,7 @@
 export interface ChangesReplyMessage {
   readonly type: 'changes';
   readonly id: number;
-  readonly answer: PassedChanges;
+  readonly answer: RelayResponse;
 }
 
 /** Requests proof that the held configuration is the newest, or a newer one. */
--- a/src/gateway/gateway-server.test.ts
+++ b/src/gateway/gateway-server.test.ts
@@ -53,9 +53,9 @@
     budget: () => 1,
     dialTimeoutMs: 100,
     limitBackoffMs: 10,
-    idleMs: 60_000,
+    idleTimeoutMs: 60_000,
     serviceMs: () => 10,
-    onTrouble: () => undefined,
+    onFailure: () => undefined,
     now: () => performance.now(),
     random: () => 0.5,
   });
@@ -189,8 +189,8 @@
 
 test('a request for changes that is pending when the gateway finishes does not delay it', async () => {
   const startMs = performance.now();
-  const answer = client.askChanges(RECORD, at(0), 60_000, 60_000);
-  await client.askEvidence(RECORD, 1000);
+  const answer = client.requestChanges(RECORD, at(0), 60_000, 60_000);
+  await client.requestEvidence(RECORD, 1000);
   await server.finish();
   assert.equal(await answer, null);
   assert.ok(performance.now() - startMs < 10_000);
@@ -200,7 +200,7 @@
   test('ends a loan that is idle in a transaction, before its next request', async () => {
     const loan = await loanInTransaction();
     server.endLoans(pool);
-    pool.end();
+    pool.closePermanently();
     await waitUntil('the borrower to be notified', () => !loan.isOpen);
     assert.equal(memberLink().isOpen, false);
     assert.equal(await outcomeOf(loan.send(COMMIT)), 'not sent');
@@ -212,7 +212,7 @@
     const outcome = outcomeOf(loan.send(COMMIT));
     await waitUntil('the member to receive the request', () => memberLink().isAsked);
     server.endLoans(pool);
-    pool.end();
+    pool.closePermanently();
     assert.equal(await outcome, 'lost');
   });
 
@@ -221,7 +221,7 @@
     const outcome = outcomeOf(client.borrow(RECORD, TERMS).send(WRITE));
     await waitUntil('the request to wait', () => server.openLoans === 2);
     server.endLoans(pool);
-    pool.end();
+    pool.closePermanently();
     assert.equal(await outcome, 'refused');
     await waitUntil('the borrower to be notified', () => !holder.isOpen);
   });
--- a/src/gateway/gateway-server.ts
+++ b/src/gateway/gateway-server.ts
@@ -4,10 +4,10 @@
  * @packageDocumentation
  */
 import { createServer, type Server, type Socket } from 'node:net';
-import type { EvidenceAnswer } from '../leadership/evidence-exchange.js';
+import type { EvidenceReply } from '../leadership/evidence-exchange.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
 import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
-import type { PassedChanges } from '../coordination/change-relay.js';
+import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import { MessageChannel } from '../peer/message-channel.js';
 import type { LinkPool } from '../relay/link-pool.js';
@@ -23,9 +23,9 @@
    */
   pool(groupName: string, incarnation: Incarnation): LinkPool | null;
   /** The leadership evidence of this daemon, for a requester that already has a version of the leaders. */
-  ownEvidence(knownVersion: number): EvidenceAnswer;
+  ownEvidence(knownVersion: number): EvidenceReply;
   /** The changes of the store after a revision that this daemon knows; waits up to `waitMs` for one. */
-  changes(afterRevision: Revision, waitMs: number): Promise<PassedChanges>;
+  changes(afterRevision: Revision, waitMs: number): Promise<RelayResponse>;
   /** This daemon's knowledge of the newest configuration, for a requester that holds a version of it. */
   configuration(heldVersion: number): PassedConfiguration;
   /** Grants operations of a tenant; `null` if this daemon is not responsible for the tenant's quota. */
--- a/src/gateway/loan.ts
+++ b/src/gateway/loan.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 import type { LinkPool } from '../relay/link-pool.js';
-import { LinkWait } from '../relay/link-wait.js';
+import { LinkAcquisition } from '../relay/link-acquisition.js';
 import { NotSentError, type MemberReply } from '../relay/member-link.js';
 import type { PooledLink } from '../relay/pooled-link.js';
 import type { SessionValues } from '../relay/session-link.js';
@@ -48,7 +48,7 @@
 export class Loan {
   readonly #queue: (ValuesMessage | LoanRequestMessage)[] = [];
   #values: SessionValues = new Map();
-  #wait: LinkWait<LinkPool> | null = null;
+  #wait: LinkAcquisition<LinkPool> | null = null;
   #link: PooledLink | null = null;
   #isProcessing = false;
   /** True while a request has been sent to the member and its reply has not arrived. */
@@ -123,7 +123,7 @@
     const wasIdle = link.state === 'idle';
     let { request } = message;
     try {
-      await link.adoptValues(this.#values);
+      await link.setSessionValues(this.#values);
       if (request.kind === 'execute' && message.prepared !== null)
         request = { ...request, name: await link.prepare(message.prepared) };
     } catch (error) {
@@ -159,12 +159,12 @@
     }
     const { tenantName, priority, waitMs } = terms;
     const dueAtMs = performance.now() + waitMs;
-    const wait = new LinkWait<LinkPool>(
+    const wait = new LinkAcquisition<LinkPool>(
       { tenantName, values: this.#values, isWrite: false, priority, dueAtMs },
       waitMs,
     );
     this.#wait = wait;
-    wait.joinAll([{ place: pool, member: pool }]);
+    wait.enqueueAll([{ place: pool, member: pool }]);
     // A borrower left waiting until the process ends would not learn that nothing was sent.
     if (this.options.stage() !== 'lending') wait.cancel();
     try {
@@ -186,7 +186,7 @@
   /** The reason for which no connection may be acquired, or `null`. */
   #refusalReason(): string | null {
     if (this.options.stage() === 'winding_up') return GATEWAY_STOPPING;
-    return this.options.pool?.isShut === true ? 'the member has too many connections' : null;
+    return this.options.pool?.isUnavailable === true ? 'the member has too many connections' : null;
   }
 
   /**
--- a/src/gateway/member-connections.test.ts
+++ b/src/gateway/member-connections.test.ts
@@ -8,7 +8,7 @@
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { LinkPool } from '../relay/link-pool.js';
 import type { LinkDemand } from '../relay/link-queue.js';
-import { PoolTimeoutError } from '../relay/link-wait.js';
+import { PoolTimeoutError } from '../relay/link-acquisition.js';
 import { DialError } from '../relay/member-link.js';
 import type { SessionLink } from '../relay/session-link.js';
 import type { GatewayClient, LoanTerms } from './gateway-client.js';
@@ -36,9 +36,9 @@
     budget: () => 2,
     dialTimeoutMs: 100,
     limitBackoffMs: 100,
-    idleMs: 1000,
+    idleTimeoutMs: 1000,
     serviceMs: () => 10,
-    onTrouble: () => undefined,
+    onFailure: () => undefined,
     random: () => 0.5,
     now: () => clock.now,
   });
@@ -55,10 +55,10 @@
     memberId: 'm',
     bornMs: () => 1000,
     pool,
-    gateways: gateways as unknown as GatewayClient,
+    gatewayClient: gateways as unknown as GatewayClient,
     assignment: () => ({ gateways: null, standbys: [], budget: 2 }),
     tenantShare: () => 1,
-    others: () => others.map((name) => ({ name }) as DaemonRecord),
+    fallbackLenders: () => others.map((name) => ({ name }) as DaemonRecord),
     ownName: 'd1',
   });
   return { connections, borrowed, terms, clock };
@@ -66,19 +66,19 @@
 
 test('a daemon that the member refuses borrows a connection, and tries the member again later', async () => {
   const { connections, borrowed, clock } = setUp(['d2']);
-  assert.equal(connections.isDirect, true);
+  assert.equal(connections.usesOwnPool, true);
   await assert.rejects(connections.acquire(DEMAND, 1000), DialError);
-  assert.equal(connections.isDirect, false);
+  assert.equal(connections.usesOwnPool, false);
   assert.equal(await connections.acquire(DEMAND, 1000), LENT_LINK);
   assert.deepEqual(borrowed, ['d2']);
   clock.now = 101;
-  assert.equal(connections.isDirect, true);
+  assert.equal(connections.usesOwnPool, true);
 });
 
 test('a daemon that the member refuses keeps trying if there is no other daemon', async () => {
   const { connections } = setUp([]);
   await assert.rejects(connections.acquire(DEMAND, 1000), DialError);
-  assert.equal(connections.isDirect, true);
+  assert.equal(connections.usesOwnPool, true);
 });
 
 test('the end of the member ends its loans, and no more are made', async () => {
--- a/src/gateway/member-connections.ts
+++ b/src/gateway/member-connections.ts
@@ -6,7 +6,7 @@
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import type { LinkPool } from '../relay/link-pool.js';
 import type { LinkDemand } from '../relay/link-queue.js';
-import { PoolTimeoutError } from '../relay/link-wait.js';
+import { PoolTimeoutError } from '../relay/link-acquisition.js';
 import { PooledLink } from '../relay/pooled-link.js';
 import type { SessionLink } from '../relay/session-link.js';
 import type { Assignment } from './assign-gateways.js';
@@ -21,11 +21,11 @@
   bornMs(): number | null;
   /** This daemon's own connections. */
   readonly pool: LinkPool;
-  readonly gateways: GatewayClient;
+  readonly gatewayClient: GatewayClient;
   /** The daemons that currently connect to the member. */
   assignment(): Assignment;
   /** Other daemons to borrow from while the member refuses connections of this one. */
-  others(): readonly DaemonRecord[];
+  fallbackLenders(): readonly DaemonRecord[];
   /** A tenant's share of the total load, 0 to 1. */
   tenantShare(tenantName: string): number;
   readonly ownName: string;
@@ -59,7 +59,7 @@
   constructor(private readonly options: MemberConnectionsOptions) {}
 
   /** The pool of this daemon's own connections. */
-  get own(): LinkPool {
+  get ownPool(): LinkPool {
     return this.options.pool;
   }
 
@@ -72,7 +72,7 @@
    * True if this daemon uses its own pool and a request would have to wait for a connection to be released.
    */
   get isExhausted(): boolean {
-    return this.isDirect && this.options.pool.isExhausted;
+    return this.usesOwnPool && this.options.pool.isExhausted;
   }
 
   /** True if this daemon is one of those that connect to the member. */
@@ -90,8 +90,8 @@
    * another daemon can lend: for seconds after a power loss, members still count the connections of processes
    * that no longer exist.
    */
-  get isDirect(): boolean {
-    return this.isAssigned && !(this.options.pool.isShut && this.options.others().length > 0);
+  get usesOwnPool(): boolean {
+    return this.isAssigned && !(this.options.pool.isUnavailable && this.options.fallbackLenders().length > 0);
   }
 
   /**
@@ -100,7 +100,7 @@
    * @throws PoolTimeoutError, DialError: nothing was sent
    */
   async acquire(demand: LinkDemand, waitMs: number): Promise<SessionLink> {
-    if (this.isDirect) return this.options.pool.acquire(demand, waitMs);
+    if (this.usesOwnPool) return this.options.pool.acquire(demand, waitMs);
     return this.borrow(demand, waitMs);
   }
 
@@ -111,10 +111,10 @@
    */
   borrow({ tenantName, priority }: LinkDemand, waitMs: number): SessionLink {
     if (this.#hasEnded) throw new PoolTimeoutError('the member has ended');
-    const { gateways, groupName, memberId } = this.options;
+    const { gatewayClient: gateways, groupName, memberId } = this.options;
     const { gateways: lenders, standbys } = this.options.assignment();
     const gateway = this.isAssigned
-      ? gateways.choose(this.options.others())
+      ? gateways.choose(this.options.fallbackLenders())
       : this.#chooseGatewayFor(tenantName, lenders ?? [], standbys);
     if (gateway === null) throw new PoolTimeoutError('no gateway in reach');
     const bornMs = this.options.bornMs();
@@ -130,7 +130,7 @@
     lenders: readonly DaemonRecord[],
     standbys: readonly DaemonRecord[],
   ): DaemonRecord | null {
-    const { gateways, memberId, tenantShare } = this.options;
+    const { gatewayClient: gateways, memberId, tenantShare } = this.options;
     if (tenantName === null) return gateways.choose(lenders, standbys);
     const tenantGateways = gatewaysOfTenant(tenantName, tenantShare(tenantName), memberId, lenders);
     return (
@@ -142,7 +142,7 @@
   /** Closes all connections, own and borrowed, even those in use: the member's incarnation has ended. */
   end(): void {
     this.#hasEnded = true;
-    this.options.pool.end();
+    this.options.pool.closePermanently();
     for (const link of [...this.#borrowed]) this.release(link);
   }
 
--- a/src/gateway/waiting-loan.test.ts
+++ b/src/gateway/waiting-loan.test.ts
@@ -28,9 +28,9 @@
   budget: () => 0,
   dialTimeoutMs: 100,
   limitBackoffMs: 10,
-  idleMs: 1000,
+  idleTimeoutMs: 1000,
   serviceMs: () => 10,
-  onTrouble: () => undefined,
+  onFailure: () => undefined,
   now: () => performance.now(),
   random: () => 0.5,
 });
@@ -55,10 +55,10 @@
     memberId: 'm',
     bornMs: () => null,
     pool,
-    gateways: client,
+    gatewayClient: client,
     assignment: () => ({ gateways: [RECORD], standbys: [], budget: 0 }),
     tenantShare: () => 1,
-    others: () => [RECORD],
+    fallbackLenders: () => [RECORD],
     ownName: 'borrower',
   });
   const demand = { tenantName: null, values: new Map(), isWrite: true, priority: 1, dueAtMs: 0 };
--- a/src/leadership/earlier-holder.test.ts
+++ b/src/leadership/earlier-duty-holder.test.ts
@@ -12,7 +12,7 @@
 import { describe, test } from 'node:test';
 import { delay } from '../common/signal.js';
 import { FIRST_TERM, ModelledGroup } from '../../test/support/modelled-group.js';
-import { CallNote, type OpenCall } from './open-calls.js';
+import { OpenCallRecord, type OpenCall } from './open-calls.js';
 
 const COMMIT = { term: FIRST_TERM, index: 2 };
 /** Fencing token of the earlier duty holder; that of the modelled one is 1. */
@@ -80,7 +80,7 @@
     assert.ok(model.commit(model.member('old')));
     model.member('one').pausedForTerm = FIRST_TERM + 1;
     model.member('other').pausedForTerm = FIRST_TERM + 1;
-    model.group.calls.note({ memberId: 'old', fence: EARLIER_FENCE, leftMs: LEFT_MS }, performance.now());
+    model.group.calls.record({ memberId: 'old', fence: EARLIER_FENCE, leftMs: LEFT_MS }, performance.now());
     return model;
   }
 
@@ -102,18 +102,21 @@
 
   test('is replaced if the known call is for another member', async () => {
     const model = recentlyPromoted();
-    model.group.calls.note({ memberId: 'one', fence: EARLIER_FENCE, leftMs: PROMOTED_MS }, performance.now());
+    model.group.calls.record(
+      { memberId: 'one', fence: EARLIER_FENCE, leftMs: PROMOTED_MS },
+      performance.now(),
+    );
     await model.until('promotion_call');
   });
 });
 
 test('the call recorded by a daemon is dropped when it expires or is cleared', () => {
-  const note = new CallNote();
+  const note = new OpenCallRecord();
   const call = { memberId: 'a', fence: 3, leftMs: 100 };
-  note.note(call, 1000);
+  note.record(call, 1000);
   assert.deepEqual(note.open(1040), { ...call, leftMs: 60 });
   assert.equal(note.open(1100), null);
-  note.note(call, 1000);
+  note.record(call, 1000);
   note.clear();
   assert.equal(note.open(1000), null);
 });
--- a/src/leadership/ended-daemon.test.ts
+++ b/src/leadership/ended-daemon.test.ts
@@ -86,7 +86,7 @@
   test('is bounded by what the leader told this daemon after that', async () => {
     const daemon = await daemonEndedBefore();
     daemon.stayDown();
-    daemon.model.group.recordLed(daemon.endedAtMs + STEP_MS, COMMIT);
+    daemon.model.group.recordLeaderPosition(daemon.endedAtMs + STEP_MS, COMMIT);
     assert.ok(await daemon.isLed(), daemon.model.events.join(', '));
   });
 
@@ -102,7 +102,7 @@
     const daemon = await daemonEndedBefore();
     daemon.restart(STEP_MS);
     daemon.reportLeaderPosition(-STEP_MS);
-    daemon.model.group.recordLed(daemon.endedAtMs - STEP_MS, COMMIT);
+    daemon.model.group.recordLeaderPosition(daemon.endedAtMs - STEP_MS, COMMIT);
     assert.equal(await daemon.isLed(), false, daemon.model.events.join(', '));
   });
 
@@ -130,8 +130,8 @@
    */
   test('is bounded by a question to the leader where nobody else asks it', async () => {
     const model = new ModelledGroup(['old', 'one', 'two']);
-    model.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
-    model.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    model.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    model.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     assert.ok(model.commit(model.member('old')));
     const endedAtMs = performance.now();
     const running = model.supervisor.daemonEnded();
@@ -152,8 +152,8 @@
    */
   test('is asked for once where many have ended', async () => {
     const model = new ModelledGroup(['old', 'one', 'two']);
-    model.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
-    model.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    model.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    model.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     model.member('old').isCutFromHolder = true;
     const ENDED_DAEMONS = 20;
     await Promise.all(Array.from({ length: ENDED_DAEMONS }, () => model.supervisor.daemonEnded()));
--- a/src/leadership/ended-members.ts
+++ b/src/leadership/ended-members.ts
@@ -22,7 +22,7 @@
   readonly #limits = new Map<Member, Position>();
 
   /** True when the limit of an ended member is known. */
-  has(member: Member): boolean {
+  hasLimit(member: Member): boolean {
     return this.#limits.has(member);
   }
 
--- a/src/leadership/group-supervisor.ts
+++ b/src/leadership/group-supervisor.ts
@@ -21,7 +21,7 @@
 import { EndedMembers } from './ended-members.js';
 import { LeaderLoss } from './leader-loss.js';
 import { LeaderSuspicions } from './leader-suspicions.js';
-import { LostLives } from './lost-lives.js';
+import { LostIncarnations } from './lost-incarnations.js';
 import type { ControlAnswer, MemberControl } from './member-control.js';
 import { OpenCalls } from './open-calls.js';
 import { DUTY_RESERVE_MS, Promotion, type PromotionPorts } from './promotion.js';
@@ -56,13 +56,13 @@
     recipients?: Recipients,
   ): Promise<ReadonlyMap<string, OrderOutcome>>;
   /** Number of daemons that keep their own connections to a member. */
-  callerCount(memberId: string): number;
+  connectedDaemonCount(memberId: string): number;
   /**
    * True when those daemons are gateways, which share their connections to the member with all other daemons.
    */
-  isLent(memberId: string): boolean;
+  usesGateways(memberId: string): boolean;
   /** A member has become the leader through a promotion by this daemon. */
-  confirmLeader(): void;
+  leaderPromoted(): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
 }
@@ -107,7 +107,7 @@
   #isStopped = false;
   readonly #suspicions = new LeaderSuspicions();
   readonly #endedMembers = new EndedMembers();
-  readonly #lostIncarnations = new LostLives();
+  readonly #lostIncarnations = new LostIncarnations();
   readonly #stepDowns = new StepDowns();
   readonly #openCalls = new OpenCalls();
   readonly #leaderLoss = new LeaderLoss();
@@ -178,7 +178,7 @@
     if (leader === null) return;
     const askedAtMs = this.options.now();
     const position = await this.#queryLogPosition(leader);
-    if (position !== null) this.group.recordLed(askedAtMs, position);
+    if (position !== null) this.group.recordLeaderPosition(askedAtMs, position);
   }
 
   /** Stops after the current check. */
@@ -192,7 +192,7 @@
     if (this.#isStopped) return;
     if (leader === null) return;
     const knownLeader = this.group.evidence.leader;
-    if (knownLeader !== null) this.group.learnLeader(knownLeader, null);
+    if (knownLeader !== null) this.group.recordLeader(knownLeader, null);
     // A member that is taken for the leader only because none is known to lead may hold commits that the
     // others lack, so it is not left out of the candidates.
     const isAssumed = this.group.evidence.leader === null && !leader.entry.saysPrimary;
@@ -214,7 +214,7 @@
    * reach its replicas.
    */
   async #checkResponsiveLeader(leader: Member): Promise<void> {
-    this.#leaderLoss.answered(leader.entry);
+    this.#leaderLoss.recordAnswer(leader.entry);
     if (this.#isFirstCheck) {
       this.#isFirstCheck = false;
       if (await this.#hasUnfinishedPromotion(leader))
@@ -225,7 +225,7 @@
     if (now - this.#lastTransferMs > TRANSFER_COOLDOWN_MS) {
       const reporterCount = this.#suspicions.lastingReporterCount(
         memberId,
-        this.options.callerCount(memberId),
+        this.options.connectedDaemonCount(memberId),
         now,
       );
       const isStalled =
@@ -246,17 +246,18 @@
   async #recordEndedMembers(leader: Member): Promise<void> {
     const departed = this.#departedMembers(leader);
     this.#endedMembers.retain(departed);
-    const unknown = departed.filter((member) => !this.#endedMembers.has(member));
-    if ((unknown.length === 0 && !this.#lostIncarnations.isLimitOpen) || this.#isRecordingEnded) return;
+    const unknown = departed.filter((member) => !this.#endedMembers.hasLimit(member));
+    if ((unknown.length === 0 && !this.#lostIncarnations.needsLeaderPosition) || this.#isRecordingEnded)
+      return;
     this.#isRecordingEnded = true;
     const areEnded = await Promise.all(unknown.map((member) => this.#hasEnded(member)));
     const ended = unknown.filter((_, index) => areEnded[index]);
     const askedAtMs = this.options.now();
-    const needsPosition = ended.length > 0 || this.#lostIncarnations.isLimitOpen;
+    const needsPosition = ended.length > 0 || this.#lostIncarnations.needsLeaderPosition;
     const position = needsPosition ? await this.#queryLogPosition(leader) : null;
     if (position !== null) {
       for (const member of ended) this.#endedMembers.record(member, position);
-      this.#lostIncarnations.record(position, askedAtMs);
+      this.#lostIncarnations.recordLeaderPosition(position, askedAtMs);
     }
     if (needsPosition) this.#logEndedMembers(ended, position);
     this.#isRecordingEnded = false;
@@ -334,7 +335,7 @@
    * them.
    */
   async #replaceSteppedDown(): Promise<void> {
-    this.group.evidence.loseLeader();
+    this.group.evidence.clearLeader();
     const members = [...this.group.members.values()];
     const statuses = await Promise.all(members.map((member) => this.#queryStatus(member)));
     let hasLeader = false;
@@ -342,7 +343,7 @@
       const answer = statuses[index];
       if (member.hasEnded || answer?.kind !== 'answered' || !answer.status.isPrimary) return;
       hasLeader = true;
-      this.group.learnLeader(
+      this.group.recordLeader(
         { memberId: member.entry.memberId, term: answer.status.term },
         answer.status.received,
       );
@@ -364,7 +365,7 @@
     members.forEach((member, index) => {
       const answer = statuses[index];
       if (member.hasEnded || answer?.kind !== 'answered' || !answer.status.isPrimary) return;
-      this.group.learnLeader(
+      this.group.recordLeader(
         { memberId: member.entry.memberId, term: answer.status.term },
         answer.status.received,
       );
@@ -390,7 +391,7 @@
       if (answer.kind === 'busy' || leader.answeredAtMs > askedAtMs) return null;
       kind = answer.kind;
     }
-    if (kind === 'refused') this.#leaderLoss.refused(leader.entry, askedAtMs);
+    if (kind === 'refused') this.#leaderLoss.recordRefusal(leader.entry, askedAtMs);
     else if (this.#isUncorroborated(leader, kind)) return null;
     return `leader is ${kind}`;
   }
@@ -403,14 +404,15 @@
   #isUncorroborated(leader: Member, kind: string): boolean {
     const { memberId } = leader.entry;
     const requiredReporters = this.#requiredReporters(leader);
-    const needsOtherReporter = kind === 'slow' && this.options.isLent(memberId);
+    const needsOtherReporter = kind === 'slow' && this.options.usesGateways(memberId);
     if (requiredReporters === 1 && !needsOtherReporter) return false;
     return this.#suspicions.count('silent', memberId, this.options.now()) < requiredReporters;
   }
 
   /** Number of daemons that have to report the same suspicion. */
   #requiredReporters(leader: Member): number {
-    const hasManyClientDaemons = this.options.callerCount(leader.entry.memberId) >= MANY_CLIENT_DAEMONS;
+    const hasManyClientDaemons =
+      this.options.connectedDaemonCount(leader.entry.memberId) >= MANY_CLIENT_DAEMONS;
     return hasManyClientDaemons ? REQUIRED_REPORTERS : 1;
   }
 
@@ -491,7 +493,7 @@
 
   /** The incarnation that led last, and has ended: what it acknowledged was received by another member. */
   #isEndedLeader(member: Member): boolean {
-    return member.hasEnded && member === this.group.ledBy(this.group.evidence.minimumTerm);
+    return member.hasEnded && member === this.group.leaderOfTerm(this.group.evidence.minimumTerm);
   }
 
   /**
@@ -505,12 +507,12 @@
   async #queryStatus(member: Member): Promise<ControlAnswer> {
     const answer = await this.options.control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS);
     if (answer.kind === 'answered' && !answer.status.isPrimary)
-      this.#lostIncarnations.heard(member, answer.status, this.options.now());
+      this.#lostIncarnations.recordStatus(member, answer.status, this.options.now());
     return answer;
   }
 
   #findMember(memberId: string): Member | null {
-    return this.group.members.get(memberId) ?? this.group.formerOf(memberId);
+    return this.group.members.get(memberId) ?? this.group.findFormer(memberId);
   }
 
   #otherMembers(leader: Member | null): readonly Member[] {
--- a/src/leadership/last-led.ts
+++ b/src/leadership/last-leader.ts
@@ -6,7 +6,7 @@
 import type { Incarnation } from '../topology/incarnation.js';
 
 /** An incarnation of a member that led a term. */
-export interface LastLed {
+export interface LastLeader {
   readonly term: number;
   readonly life: Incarnation;
 }
@@ -14,7 +14,7 @@
 /** The latest incarnation reported as the leader of exactly this term, or `null`. */
 export function findLeaderOfTerm(
   term: number,
-  reported: readonly (LastLed | null | undefined)[],
+  reported: readonly (LastLeader | null | undefined)[],
 ): Incarnation | null {
   let latest: Incarnation | null = null;
   for (const led of reported) {
--- a/src/leadership/leader-loss.ts
+++ b/src/leadership/leader-loss.ts
@@ -20,13 +20,13 @@
   #last: { readonly incarnation: string; readonly sinceMs: number } | null = null;
 
   /** Records that the incarnation refused a connection attempted at `nowMs`. */
-  refused(incarnation: Incarnation, nowMs: number): void {
+  recordRefusal(incarnation: Incarnation, nowMs: number): void {
     const formatted = formatIncarnation(incarnation);
     if (this.#last?.incarnation !== formatted) this.#last = { incarnation: formatted, sinceMs: nowMs };
   }
 
   /** Records that the incarnation answers after all. */
-  answered(incarnation: Incarnation): void {
+  recordAnswer(incarnation: Incarnation): void {
     if (this.#last?.incarnation === formatIncarnation(incarnation)) this.#last = null;
   }
 
--- a/src/leadership/leader-next-life.test.ts
+++ b/src/leadership/leader-restart.test.ts
@@ -26,9 +26,9 @@
 function groupWithIncarnations(): ModelledGroup {
   const fixture = new ModelledGroup(['old', 'one', 'two']);
   for (const memberId of ['old', 'one', 'two'])
-    fixture.group.dropFormer(startNextLife(fixture, memberId, 'log'));
+    fixture.group.removeFormer(startNextLife(fixture, memberId, 'log'));
   fixture.member('old').isPrimary = true;
-  fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, fixture.member('old').received);
+  fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, fixture.member('old').received);
   const answer = { latest: { term: FIRST_TERM, index: 0 }, limit: null };
   fixture.daemons.set('d2', { kind: 'answered', answer });
   return fixture;
@@ -116,7 +116,7 @@
     const before = FIRST_TERM;
     old.term = before + 1;
     for (const memberId of ['one', 'two']) fixture.member(memberId).term = before + 1;
-    fixture.group.learnLeader({ memberId: 'old', term: before + 1 }, old.received);
+    fixture.group.recordLeader({ memberId: 'old', term: before + 1 }, old.received);
     restartLeader(fixture, 'log');
     assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
   });
@@ -125,8 +125,8 @@
   test('is waited for when what the term began with is known from a replica alone', async () => {
     const fixture = groupWithIncarnations();
     for (const memberId of ['one', 'two']) fixture.member(memberId).term = FIRST_TERM + 1;
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM + 1 }, null);
-    fixture.group.noteReceived(fixture.member('two').received);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM + 1 }, null);
+    fixture.group.recordReplicaPosition(fixture.member('two').received);
     fixture.member('old').received = COMMIT;
     restartLeader(fixture, 'log');
     assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
--- a/src/leadership/leadership-watcher.test.ts
+++ b/src/leadership/leadership-watcher.test.ts
@@ -40,7 +40,7 @@
   replica.knownSinceMs = performance.now() - knownForMs;
   group.members.set('leader', member('leader', 2));
   group.members.set('replica', replica);
-  group.learnLeader({ memberId: 'leader', term: TERM }, null);
+  group.recordLeader({ memberId: 'leader', term: TERM }, null);
   const status = { isPrimary: false, term: TERM, pausedForTerm: 0, received: { term: TERM, index: 1 } };
   let queryCount = 0;
   const ask = (): Promise<ControlAnswer> => {
--- a/src/leadership/member-control.ts
+++ b/src/leadership/member-control.ts
@@ -106,7 +106,7 @@
   ): Promise<ControlAnswer> {
     const deadlineMs = this.options.now() + timeoutMs;
     const pooled =
-      member.pool.own.takeIdle() ?? (opensPool ? await this.#waitForPooled(member, timeoutMs) : null);
+      member.pool.ownPool.takeIdle() ?? (opensPool ? await this.#waitForPooled(member, timeoutMs) : null);
     if (pooled !== null && 'kind' in pooled) return pooled;
     if (pooled !== null) return this.#askOver(pooled, member, request, deadlineMs);
     const mayConnect = !member.pool.hasGateways || this.options.mayConnect();
@@ -122,7 +122,7 @@
     if ('kind' in link) return link;
     const answer = await this.#send(link, request, ownDeadlineMs - this.options.now());
     if (!link.isOpen) this.#dropOwnLink(member.entry.memberId, link);
-    if (answer.kind === 'answered') member.trust(this.options.now());
+    if (answer.kind === 'answered') member.recordAnswer(this.options.now());
     return answer;
   }
 
@@ -144,7 +144,7 @@
   }
 
   /** Closes idle own connections: they count against the members' connection limits. */
-  trim(): void {
+  closeIdleConnections(): void {
     const unusedSinceMs = this.options.now() - OWN_LINK_IDLE_MS;
     for (const [memberId, usedAtMs] of this.#usedAtMs)
       if (usedAtMs < unusedSinceMs) this.#endOwnLink(memberId);
@@ -156,9 +156,9 @@
    * sent another way.
    */
   async #waitForPooled(member: Member, timeoutMs: number): Promise<PooledLink | ControlAnswer | null> {
-    const { own, hasGateways, isAssigned } = member.pool;
+    const { ownPool: own, hasGateways, isAssigned } = member.pool;
     const mustWait = hasGateways && isAssigned && !this.options.mayConnect();
-    if (!own.isUnopened && !mustWait) return null;
+    if (!own.canOpenFirst && !mustWait) return null;
     const dueAtMs = this.options.now() + timeoutMs;
     const demand = ownDemand(dueAtMs);
     try {
@@ -176,8 +176,8 @@
     deadlineMs: number,
   ): Promise<ControlAnswer> {
     const answer = await this.#send(pooled, request, deadlineMs - this.options.now());
-    member.pool.own.release(pooled);
-    if (answer.kind === 'answered') member.trust(this.options.now());
+    member.pool.ownPool.release(pooled);
+    if (answer.kind === 'answered') member.recordAnswer(this.options.now());
     return answer;
   }
 
--- a/src/leadership/open-calls.ts
+++ b/src/leadership/open-calls.ts
@@ -23,11 +23,11 @@
  * The last call for one group that a daemon has been informed of. Times are passed in, in monotonic
  * milliseconds.
  */
-export class CallNote {
+export class OpenCallRecord {
   #last: { readonly memberId: string; readonly fence: number; readonly untilMs: number } | null = null;
 
   /** Records a call that the duty holder is about to make or that may still be open. */
-  note({ memberId, fence, leftMs }: OpenCall, nowMs: number): void {
+  record({ memberId, fence, leftMs }: OpenCall, nowMs: number): void {
     this.#last = { memberId, fence, untilMs: nowMs + leftMs };
   }
 
--- a/src/leadership/order-outcomes.ts
+++ b/src/leadership/order-outcomes.ts
@@ -3,7 +3,7 @@
  *
  * @packageDocumentation
  */
-import { endedBefore, type Absence } from '../cluster/daemon-ends.js';
+import { predecessorExitMs, type Absence } from '../cluster/absence-tracker.js';
 import type { OrderOutcome } from '../cluster/peer-mesh.js';
 import { comparePositions, laterPosition, ZERO_POSITION, type Position } from '../position/position.js';
 import type { Acknowledged } from './acknowledged.js';
@@ -61,7 +61,7 @@
 
 /** Time by which the earlier processes of a daemon had ended, in monotonic milliseconds. */
 function earlierProcessesEndedMs({ absence }: { readonly absence?: Absence }, countsFromMs: number): number {
-  const ended = absence === undefined ? null : endedBefore(absence, countsFromMs);
+  const ended = absence === undefined ? null : predecessorExitMs(absence, countsFromMs);
   return ended === null ? countsFromMs : Math.min(ended, countsFromMs);
 }
 
--- a/src/leadership/doubts-that-end.test.ts
+++ b/src/leadership/promotion-after-restarts.test.ts
@@ -49,7 +49,7 @@
    */
   test('are missing no more once all members answer, the one that led among them', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'old', 'nothing');
@@ -65,12 +65,12 @@
    */
   test('are covered by the leader that stepped down before this holder took the duty', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'one', 'log');
     fixture.retire('old');
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.member('old').isPrimary = false;
     assert.ok(await isPromotedWithin(fixture, PROMOTION_TIMEOUT_MS), fixture.events.join(', '));
     assert.ok(hasReached(leaderPosition(fixture), COMMIT), fixture.events.join(', '));
@@ -82,7 +82,7 @@
   test('are missing no more where another daemon knows who led', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'old', 'nothing');
     startNextLife(fixture, 'one', 'log');
@@ -97,7 +97,7 @@
   test('are missing where nobody knows who led', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'one', 'nothing');
     startNextLife(fixture, 'two', 'log');
@@ -115,7 +115,7 @@
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     fixture.member('two').isDeaf = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.group.members.delete('old');
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'one', 'nothing');
@@ -131,11 +131,11 @@
    */
   test('are covered when they ended, and were listed no more, while the leader led', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'spare']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     startNextLife(fixture, 'spare', 'log');
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
-    fixture.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    fixture.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     const spare = fixture.group.members.get('spare');
     assert.ok(spare);
     spare.missingSinceMs = performance.now();
@@ -160,7 +160,7 @@
    */
   test('are not promoted over by leaving out a member that leaves and that nobody knows to lead', async () => {
     const fixture = new ModelledGroup(['far', 'old', 'other']);
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     const far = fixture.group.members.get('far');
     assert.ok(far);
     far.leavingSinceMs = performance.now();
@@ -185,7 +185,7 @@
   /** The incarnation with the only copy was checked, ended, and its next incarnation was not queried yet. */
   test('are missing while their next life has not been looked at', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     fixture.member('two').isDeaf = true;
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
@@ -207,7 +207,7 @@
 
   test('are missing while the next incarnation of one of them does not answer: it may have the log', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     fixture.member('two').isDeaf = true;
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
@@ -243,7 +243,7 @@
       },
     };
     fixture.daemons.set('d2', { kind: 'answered', answer });
-    fixture.group.recordLed(askedAtMs, COMMIT);
+    fixture.group.recordLeaderPosition(askedAtMs, COMMIT);
     fixture.member('old').state = 'ended';
     fixture.member('two').state = 'dark';
     return fixture;
@@ -304,7 +304,7 @@
     context.mock.timers.enable({ apis: ['setTimeout', 'setInterval'] });
     context.mock.method(performance, 'now', () => clock.nowMs);
     const fixture = new ModelledGroup(['old', 'one', 'flapping']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
     fixture.member('old').state = 'ended';
@@ -315,7 +315,7 @@
       passed += RESTART_INTERVAL_MS
     ) {
       const ended = startNextLife(fixture, 'flapping', 'log');
-      setTimeout(() => fixture.group.dropFormer(ended), FORMER_MEMBER_TTL_MS);
+      setTimeout(() => fixture.group.removeFormer(ended), FORMER_MEMBER_TTL_MS);
       fixture.supervisor.suspect();
       await advance(context, RESTART_INTERVAL_MS, clock);
     }
--- a/src/leadership/last-moment.test.ts
+++ b/src/leadership/promotion-final-check.test.ts
@@ -14,8 +14,8 @@
 import { FIRST_TERM, ModelledGroup, type GroupMember } from '../../test/support/modelled-group.js';
 import type { Position } from '../position/position.js';
 import { Member, MemberGroup } from '../topology/member-group.js';
-import { EVIDENCE_MS } from './leadership-evidence.js';
-import { LostLives } from './lost-lives.js';
+import { EVIDENCE_VALIDITY_MS } from './leadership-evidence.js';
+import { LostIncarnations } from './lost-incarnations.js';
 
 const EMPTY: Position = { term: 0, index: 0 };
 /**
@@ -80,7 +80,7 @@
     const waitedMs = performance.now() - pausedAtMs;
     const isCalled = model.events.includes('promote named');
     assert.ok(
-      !isCalled || waitedMs >= EVIDENCE_MS - TIMER_TOLERANCE_MS,
+      !isCalled || waitedMs >= EVIDENCE_VALIDITY_MS - TIMER_TOLERANCE_MS,
       `called after ${Math.round(waitedMs)} ms`,
     );
   });
@@ -145,9 +145,9 @@
     assert.ok(before);
     model.group.members.delete('old');
     before.hasEnded = true;
-    model.group.keepFormer(before);
+    model.group.addFormer(before);
     model.group.members.set('old', new Member({ ...before.entry, bornMs: 7 }, {} as MemberConnections));
-    model.group.evidence.loseLeader();
+    model.group.evidence.clearLeader();
   }
 
   /**
@@ -200,13 +200,13 @@
   test('has a leader whose late answer is no floor for reads at the next leader', () => {
     const group = new MemberGroup('g');
     const old = { memberId: 'old', term: 3 };
-    group.evidence.believe(old);
-    group.evidence.witness(3, 0, 1000);
-    group.recordLed(1000, { term: 3, index: 10 }, old);
-    group.evidence.believe({ memberId: 'new', term: 4 });
-    group.evidence.witness(4, 0, 1500);
-    group.recordLed(1100, { term: 3, index: 12 }, old);
-    assert.equal(group.heldByLeader, null);
+    group.evidence.observeLeader(old);
+    group.evidence.recordWitness(3, 0, 1000);
+    group.recordLeaderPosition(1000, { term: 3, index: 10 }, old);
+    group.evidence.observeLeader({ memberId: 'new', term: 4 });
+    group.evidence.recordWitness(4, 0, 1500);
+    group.recordLeaderPosition(1100, { term: 3, index: 12 }, old);
+    assert.equal(group.leaderPosition, null);
   });
 });
 
@@ -217,7 +217,7 @@
    */
   test('are not taken for the leader because they are listed first', async () => {
     const model = new ModelledGroup(['far', 'old', 'other']);
-    model.group.evidence.loseLeader();
+    model.group.evidence.clearLeader();
     const [far, old, other] = [model.member('far'), model.member('old'), model.member('other')];
     far.isPrimary = false;
     far.received = { term: FIRST_TERM, index: 2 };
@@ -232,12 +232,12 @@
   });
 
   test('are not bounded by a position that was asked for before the loss was detected', () => {
-    const lost = new LostLives();
+    const lost = new LostIncarnations();
     const member = { entry: { memberId: 'x', bornMs: null } } as unknown as Member;
     const status = { isPrimary: false, term: 3, pausedForTerm: 0 };
-    lost.heard(member, { ...status, received: { term: 3, index: 5 } }, 0);
-    lost.heard(member, { ...status, received: EMPTY }, 20);
-    lost.record({ term: 3, index: 100 }, 10);
+    lost.recordStatus(member, { ...status, received: { term: 3, index: 5 } }, 0);
+    lost.recordStatus(member, { ...status, received: EMPTY }, 20);
+    lost.recordLeaderPosition({ term: 3, index: 100 }, 10);
     assert.equal(lost.uncovered([{ term: 3, index: 100 }], null, 30).length, 1);
   });
 });
--- a/src/leadership/promotion-loss.test.ts
+++ b/src/leadership/promotion-loss.test.ts
@@ -89,7 +89,7 @@
     const model = new ModelledGroup(['old', 'leaving', 'other']);
     model.retire('leaving');
     model.daemons.set('d2', { kind: 'silent' });
-    model.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    model.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     setUp(model);
     model.member('leaving').state = 'ended';
     const running = model.supervisor.run();
@@ -222,7 +222,7 @@
 
   test('leaves the pauses to the next holder, which completes the promotion although the old primary is proven to lead', async () => {
     const model = new ModelledGroup(['old', 'one', 'other']);
-    model.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    model.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     model.member('other').pausedForTerm = FIRST_TERM + 1;
     await model.until('promotion_ends');
     assert.equal(model.member('other').pausedForTerm, 0);
--- a/src/leadership/promotion.ts
+++ b/src/leadership/promotion.ts
@@ -23,9 +23,9 @@
 import { joinAcknowledged, type Acknowledged } from './acknowledged.js';
 import { appoint, CALL_EFFECT_WINDOW_MS, type AppointmentOutcome } from './appointment.js';
 import { chooseSuccessor, type SuccessorCandidate } from './choose-successor.js';
-import { EVIDENCE_MS, REGISTRATION_SETTLE_MS } from './leadership-evidence.js';
+import { EVIDENCE_VALIDITY_MS, REGISTRATION_SETTLE_MS } from './leadership-evidence.js';
 import type { GroupSupervisorOptions } from './group-supervisor.js';
-import { findLeaderOfTerm, type LastLed } from './last-led.js';
+import { findLeaderOfTerm, type LastLeader } from './last-leader.js';
 import type { LeaderLoss } from './leader-loss.js';
 import type { OpenCall, OpenCalls } from './open-calls.js';
 import type { StepDowns } from './step-downs.js';
@@ -77,7 +77,7 @@
    */
   readonly lastTerm: number;
   /** The last leader that this daemon knew of when that first promotion began. */
-  readonly lastLed: LastLed | null;
+  readonly lastLed: LastLeader | null;
   /** All members known now except the leader. */
   others(): readonly Member[];
   /**
@@ -209,7 +209,7 @@
     const outcomes = new Map([...first, ...(await this.#revokeStartedSince(first))]);
     this.#hasUnansweredDaemon = hasUnanswered(outcomes);
     if (this.#hasUnansweredDaemon || this.#mayNewDaemonCountEvidence(pausedAtMs))
-      await this.#waitWhileRevoked(pausedAtMs + EVIDENCE_MS);
+      await this.#waitWhileRevoked(pausedAtMs + EVIDENCE_VALIDITY_MS);
     return { pauses, outcomes };
   }
 
@@ -279,7 +279,7 @@
       ([name, { kind }]) => unanswered.has(name) || kind !== 'silent',
     );
     if (!haveAllAnswered) this.#hasUnansweredDaemon = true;
-    if (!haveAllAnswered) await this.#waitWhileRevoked(this.#revokedAtMs + EVIDENCE_MS);
+    if (!haveAllAnswered) await this.#waitWhileRevoked(this.#revokedAtMs + EVIDENCE_VALIDITY_MS);
     const reported = [...outcomes].map(([name, outcome]) => {
       const reply = replies.get(name);
       return reply?.kind === 'answered' ? reply : withoutLimit(outcome);
@@ -347,7 +347,7 @@
     const answer = await options.control.ask(successor, { kind: 'status' }, STATUS_TIMEOUT_MS);
     const isLeading =
       answer.kind === 'answered' && answer.status.isPrimary && answer.status.term > this.#term;
-    if (isLeading) pauses.noteTerm(answer.status.term);
+    if (isLeading) pauses.observeTerm(answer.status.term);
     return isLeading;
   }
 
@@ -394,8 +394,9 @@
     if (led === null) return true;
     if (respondingIds.has(led.memberId)) return false;
     // A daemon that never knew this incarnation cannot have seen its entry removed.
-    const wasKnown = group.ledBy(this.ports.lastTerm)?.entry.memberId === led.memberId;
-    const isForgotten = wasKnown && !group.members.has(led.memberId) && group.formerOf(led.memberId) === null;
+    const wasKnown = group.leaderOfTerm(this.ports.lastTerm)?.entry.memberId === led.memberId;
+    const isForgotten =
+      wasKnown && !group.members.has(led.memberId) && group.findFormer(led.memberId) === null;
     return !isForgotten && !leaderLoss.isOver(led, options.now());
   }
 
@@ -416,7 +417,7 @@
    */
   #hasTermStart(paused: readonly PausedReplica[]): boolean {
     const { group, lastTerm } = this.ports;
-    const opened = group.openedWith(lastTerm);
+    const opened = group.termStartPosition(lastTerm);
     return paused.some(
       ({ status: { received } }) =>
         received.term >= lastTerm || (opened !== null && hasReached(received, opened)),
@@ -430,7 +431,7 @@
   async #waitForLatePause(): Promise<void> {
     const pausedAtMs = this.ports.options.now();
     if (this.#hasUnansweredDaemon || this.#mayNewDaemonCountEvidence(pausedAtMs))
-      await this.#waitWhileRevoked(pausedAtMs + EVIDENCE_MS);
+      await this.#waitWhileRevoked(pausedAtMs + EVIDENCE_VALIDITY_MS);
   }
 
   /** True when a daemon that has registered since the promotion began may count evidence at that time. */
@@ -444,7 +445,7 @@
    */
   #isSuperseded(): boolean {
     const { group, pauses } = this.ports;
-    group.evidence.noteTerm(pauses.latestTerm);
+    group.evidence.observeTerm(pauses.latestTerm);
     return group.evidence.minimumTerm > this.#term;
   }
 
@@ -454,7 +455,7 @@
    */
   #recordLastLeaderPosition({ paused }: FinalCheck): void {
     if (this.ports.lastTerm !== this.#term) return;
-    const known = this.ports.group.ledBy(this.#term);
+    const known = this.ports.group.leaderOfTerm(this.#term);
     const lastLeader = paused.find(({ member }) => member === known || this.#isLastLeader(member));
     if (lastLeader !== undefined) this.ports.stepDowns.record(this.#term, lastLeader.status);
   }
@@ -551,7 +552,7 @@
       replaced: isReplaced,
     });
     if (isReplaced) {
-      group.evidence.believe({ memberId, term: status.term });
+      group.evidence.observeLeader({ memberId, term: status.term });
       return {
         kind: 'again',
         leader: successor.member,
@@ -611,8 +612,8 @@
 
   #announce({ entry: { memberId } }: Member, { term, received }: MemberStatus): void {
     const { options, group, openCalls } = this.ports;
-    group.learnLeader({ memberId, term }, received);
-    options.confirmLeader();
+    group.recordLeader({ memberId, term }, received);
+    options.leaderPromoted();
     const furtherCall = openCalls.untilMs > options.now() ? this.#openCall() : {};
     const announcement = { kind: 'leader', groupName: group.name, memberId, term, held: received } as const;
     void options.order({ ...announcement, ...furtherCall }, ORDER_TIMEOUT_MS);
@@ -653,7 +654,7 @@
     const { options, group } = this.ports;
     if (this.ports.fence(0) === null) return;
     await this.#resume([...this.#everPaused]);
-    group.evidence.allowAgain();
+    group.evidence.liftRevocation();
     void options.order({ kind: 'allow', groupName: group.name }, ORDER_TIMEOUT_MS);
   }
 
--- a/src/leadership/replica-pauses.ts
+++ b/src/leadership/replica-pauses.ts
@@ -7,7 +7,7 @@
 import type { Incarnation } from '../topology/incarnation.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import type { EndedMembers } from './ended-members.js';
-import type { LostLives } from './lost-lives.js';
+import type { LostIncarnations } from './lost-incarnations.js';
 import type { MemberControl } from './member-control.js';
 import { describeAnswer, type MissingIncarnation } from './missing-incarnation.js';
 
@@ -66,7 +66,7 @@
     private readonly control: MemberControl,
     private readonly group: MemberGroup,
     private readonly ended: EndedMembers,
-    private readonly lost: LostLives,
+    private readonly lost: LostIncarnations,
     private readonly now: () => number,
   ) {}
 
@@ -76,7 +76,7 @@
   }
 
   /** Records that a member was found to follow or lead a term. */
-  noteTerm(term: number): void {
+  observeTerm(term: number): void {
     this.#latestTerm = Math.max(this.#latestTerm, term);
   }
 
@@ -185,7 +185,7 @@
 
   /** Why a member that has ended is not covered by the paused ones. */
   #goneReason(member: Member): string {
-    return this.ended.has(member)
+    return this.ended.hasLimit(member)
       ? 'ended, and no paused replica has reached its limit'
       : 'ended, and its limit is unknown';
   }
@@ -195,13 +195,13 @@
    * log.
    */
   #isKnownToEnd(member: Member): boolean {
-    return this.ended.has(member) || [...this.group.former.values()].includes(member);
+    return this.ended.hasLimit(member) || [...this.group.former.values()].includes(member);
   }
 
   /** Records the status of a member; returns `null` for a member that is not paused. */
   #recordStatus(member: Member, status: MemberStatus, term: number): PausedReplica | null {
-    if (!this.#demoted.has(member)) this.noteTerm(status.term);
-    if (!status.isPrimary) this.lost.heard(member, status, this.now());
+    if (!this.#demoted.has(member)) this.observeTerm(status.term);
+    if (!status.isPrimary) this.lost.recordStatus(member, status, this.now());
     return toPaused(member, status, term);
   }
 
--- a/src/relay/leader-doubts.ts
+++ b/src/relay/failure-detector.ts
@@ -59,7 +59,7 @@
     const isLeader = isLeaderOf(group, member);
     const deniesLeadership = NOT_LEADER_REASONS.has(reason);
     if (deniesLeadership) {
-      if (isLeader) group.evidence.loseLeader();
+      if (isLeader) group.evidence.clearLeader();
     } else {
       this.#avoid(group, member, reason);
     }
@@ -85,7 +85,7 @@
     const leader = group.leader(now);
     if (leader === null) return;
     this.#report(group, leader, 'stalled');
-    leader.pool.own.rejectWaiters('commits stall', ({ isWrite }) => isWrite);
+    leader.pool.ownPool.rejectWaiters('commits stall', ({ isWrite }) => isWrite);
   }
 
   /** Reports a leader that answers but fails many requests: another member can replace it. */
@@ -96,7 +96,7 @@
   }
 
   #checkResponsiveness(group: MemberGroup, member: Member, now: number): void {
-    const { own } = member.pool;
+    const { ownPool: own } = member.pool;
     const unansweredMs = own.unansweredMs(now);
     const hasJustExceeded =
       unansweredMs >= LEADER_UNRESPONSIVE_MS && unansweredMs < LEADER_UNRESPONSIVE_MS + this.options.tickMs;
--- a/src/relay/lead-proof.ts
+++ b/src/relay/leader-identity.ts
@@ -75,5 +75,6 @@
   sentAtMs: number,
   position: Position | null,
 ): void {
-  if (position !== null && isStillLeader(context, group, leader)) group.recordLed(sentAtMs, position, leader);
+  if (position !== null && isStillLeader(context, group, leader))
+    group.recordLeaderPosition(sentAtMs, position, leader);
 }
--- a/src/relay/read-runner.test.ts
+++ b/src/relay/read-runner.test.ts
@@ -80,7 +80,7 @@
   const clock = { now: performance.now() };
   const fakes = { leader: new FakeMember(), replica: new FakeMember() };
   const group = testGroup(fakes, () => clock.now);
-  group.evidence.witness(1, 0, clock.now);
+  group.evidence.recordWitness(1, 0, clock.now);
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -89,7 +89,7 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now: () => clock.now,
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     readStatus: () => null,
     suspect: () => undefined,
   };
@@ -115,7 +115,7 @@
 
 test('a waiting read is served by the member that has a free connection first', async () => {
   const { group, clock, leader, replica, read } = scene();
-  group.recordLed(clock.now - 100, { term: 1, index: 5 });
+  group.recordLeaderPosition(clock.now - 100, { term: 1, index: 5 });
   const first = [read('a'), read('b')];
   await drainEventLoop();
   assert.equal(leader.requests.length + replica.requests.length, 2);
@@ -150,7 +150,7 @@
 
 test('a leader without valid evidence serves reads by their floor, as a replica would', async () => {
   const { group, clock, leader, replica, read } = scene();
-  group.recordLed(clock.now - 100, { term: 1, index: 5 });
+  group.recordLeaderPosition(clock.now - 100, { term: 1, index: 5 });
   group.evidence.revoke(1, clock.now);
   const reads = [read('a'), read('b')];
   await drainEventLoop();
@@ -169,7 +169,7 @@
 test('a leader without valid evidence serves no read of a primary route, and none without a floor', async () => {
   for (const consistency of ['primary', 'bounded_staleness'] as const) {
     const { group, clock, leader, replica, read } = scene({ ...ROUTE, consistency, timeoutMs: 200 });
-    if (consistency === 'primary') group.recordLed(clock.now - 100, { term: 1, index: 5 });
+    if (consistency === 'primary') group.recordLeaderPosition(clock.now - 100, { term: 1, index: 5 });
     group.evidence.revoke(1, clock.now);
     const refused = assert.rejects(read('a'), /no member can serve/);
     await drainEventLoop();
--- a/src/relay/read-runner.ts
+++ b/src/relay/read-runner.ts
@@ -10,10 +10,10 @@
 import { laterFloor, type ReadFloor } from '../leadership/position-history.js';
 import type { Route } from '../topology/catalog.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
-import { alternatives, selectReadMember, type ReadCandidate } from '../topology/select-member.js';
+import { alternativeCandidates, selectReadMember, type ReadCandidate } from '../topology/select-member.js';
 import { dueAt, type LinkDemand } from './link-queue.js';
-import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './lead-proof.js';
-import { LinkWait, type Grant, type WaitingPlace } from './link-wait.js';
+import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './leader-identity.js';
+import { LinkAcquisition, type GrantedLink, type LinkSource } from './link-acquisition.js';
 import {
   DialError,
   hasLostLog,
@@ -23,7 +23,7 @@
 } from './member-link.js';
 import { shouldRefuseEarly } from './early-refusal.js';
 import { Refusal } from './refusal.js';
-import { LATE_ANSWER_MS, RETRY_AFTER_MS, RETRY_PAUSE_MS, type RelayContext } from './relay-context.js';
+import { LATE_REPLY_TIMEOUT_MS, RETRY_AFTER_MS, RETRY_DELAY_MS, type RelayContext } from './relay-context.js';
 import type { SessionLink, SessionValues } from './session-link.js';
 import { sendStatement, type SessionStatement } from './send-statement.js';
 
@@ -62,7 +62,7 @@
  * An attempt in progress: it waits for a connection to one of several members, then for that member's answer.
  */
 interface PendingAttempt {
-  readonly wait: LinkWait<Member>;
+  readonly wait: LinkAcquisition<Member>;
   /** When the read was sent, in monotonic milliseconds; `null` while waiting for a connection. */
   sentAtMs: number | null;
 }
@@ -145,8 +145,8 @@
 ): void {
   member.recordPosition(position, nowMs);
   if (floor === null) return;
-  if (result.isComplete) member.recordFloor(floor, true, nowMs);
-  else if (result.code === 'behind') member.recordFloor(floor, false, nowMs);
+  if (result.isComplete) member.recordFloorResult(floor, true, nowMs);
+  else if (result.code === 'behind') member.recordFloorResult(floor, false, nowMs);
 }
 
 export class ReadRunner {
@@ -208,7 +208,7 @@
         if (this.#shouldRefuseEarly()) return this.#resultWithoutAnswer();
         this.#excluded.clear();
         this.#unreachable.clear();
-        await this.job.group.changed.wait(Math.min(RETRY_PAUSE_MS, remaining));
+        await this.job.group.changed.wait(Math.min(RETRY_DELAY_MS, remaining));
         continue;
       }
       const attempt = await this.#nextEndedAttempt(remaining);
@@ -294,11 +294,11 @@
     const choice = selectReadMember(candidates, demand);
     const member = choice === null ? undefined : group.members.get(choice.memberId);
     if (choice === null || member === undefined) return;
-    const others = alternatives(choice, candidates, demand).flatMap(
+    const others = alternativeCandidates(choice, candidates, demand).flatMap(
       ({ memberId }) => group.members.get(memberId) ?? [],
     );
     if (waiting !== null) {
-      if (!choice.isAvoided) waiting.wait.joinAll(directQueuesOf([member, ...others]));
+      if (!choice.isAvoided) waiting.wait.enqueueAll(directQueuesOf([member, ...others]));
       return;
     }
     if (this.#pending.size > 0 && (choice.isAvoided || member.pool.isExhausted)) return;
@@ -309,15 +309,15 @@
   #startAttempt(member: Member, others: readonly Member[]): void {
     const demand = this.#demand();
     const waitMs = this.job.deadlineMs - this.context.now();
-    const pending: PendingAttempt = { wait: new LinkWait<Member>(demand, waitMs), sentAtMs: null };
+    const pending: PendingAttempt = { wait: new LinkAcquisition<Member>(demand, waitMs), sentAtMs: null };
     this.#pending.add(pending);
     void this.#attempt(pending).then((attempt) => {
       this.#pending.delete(pending);
       this.#endedAttempts.push(attempt);
       this.#attemptEnded.notify();
     });
-    if (member.pool.isDirect) pending.wait.joinAll(directQueuesOf([member, ...others]));
-    else pending.wait.settle(member, () => member.pool.borrow(demand, waitMs));
+    if (member.pool.usesOwnPool) pending.wait.enqueueAll(directQueuesOf([member, ...others]));
+    else pending.wait.completeWith(member, () => member.pool.borrow(demand, waitMs));
   }
 
   #demand(): LinkDemand {
@@ -333,7 +333,7 @@
 
   async #attempt(pending: PendingAttempt): Promise<Attempt> {
     const { wait } = pending;
-    let granted: Grant<Member>;
+    let granted: GrantedLink<Member>;
     try {
       granted = await wait.granted;
     } catch (error) {
@@ -365,9 +365,12 @@
       floor: floor === null ? null : formatPosition(floor.position),
       second: this.#pending.size > 1,
     });
-    const deadlineTimer = setTimeout(() => link.close(), job.deadlineMs - context.now() + LATE_ANSWER_MS);
+    const deadlineTimer = setTimeout(
+      () => link.close(),
+      job.deadlineMs - context.now() + LATE_REPLY_TIMEOUT_MS,
+    );
     let isSent = false;
-    const after = asLeader ? job.group.heldByLeader : (floor?.position ?? null);
+    const after = asLeader ? job.group.leaderPosition : (floor?.position ?? null);
     try {
       const reply = await sendStatement(link, job.statement, job.requestId, job.values, after, () => {
         if (this.#isSettled) return ANSWERED_ELSEWHERE;
@@ -406,7 +409,7 @@
     const asLeader = leader !== null;
     const answerMs = this.context.now() - sentAtMs;
     const members = [member];
-    member.trust(this.context.now());
+    member.recordAnswer(this.context.now());
     recordReplicaProgress(member, floor, reply, this.context.now());
     if (asLeader && hasLostLog(reply)) this.context.suspect(group, member, 'lost_log');
     if (asLeader && reply.result.isComplete)
@@ -434,6 +437,8 @@
 /** The pools in which a request can queue: those of members to which this daemon connects directly. */
 function directQueuesOf(
   members: readonly Member[],
-): { readonly place: WaitingPlace; readonly member: Member }[] {
-  return members.filter(({ pool }) => pool.isDirect).map((member) => ({ place: member.pool.own, member }));
+): { readonly place: LinkSource; readonly member: Member }[] {
+  return members
+    .filter(({ pool }) => pool.usesOwnPool)
+    .map((member) => ({ place: member.pool.ownPool, member }));
 }
--- a/src/relay/relay-daemon.ts
+++ b/src/relay/relay-daemon.ts
@@ -8,7 +8,7 @@
 import { DaemonDirectory } from '../cluster/daemon-directory.js';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { Delegations } from '../cluster/delegates.js';
-import { dutyTurnMs } from '../cluster/duty-turn.js';
+import { dutyClaimDelayMs } from '../cluster/duty-claim-delay.js';
 import { deliverOrder, type OrderOutcomes, type Recipients } from '../cluster/order-delivery.js';
 import { LostRecords } from '../cluster/lost-records.js';
 import { Registration } from '../cluster/registration.js';
@@ -23,7 +23,7 @@
   readDaemons,
 } from '../coordination/daemon-register.js';
 import { Duty } from '../coordination/duty.js';
-import { DelegatedFeed, WORST_LAG_MS } from '../coordination/change-feed.js';
+import { DelegatedFeed, MAX_RELAY_LAG_MS } from '../coordination/change-feed.js';
 import { ChangeRelay } from '../coordination/change-relay.js';
 import type { EntryFaults } from '../coordination/entry-faults.js';
 import { isSameRevision, type Revision } from '../coordination/revision.js';
@@ -33,11 +33,11 @@
 import { GatewayServer } from '../gateway/gateway-server.js';
 import { MemberConnections } from '../gateway/member-connections.js';
 import type { GroupSupervisorOptions, PromotionPort } from '../leadership/group-supervisor.js';
-import { EvidenceAnswers } from '../leadership/evidence-exchange.js';
+import { EvidenceResponder } from '../leadership/evidence-exchange.js';
 import { EvidenceSharing } from '../leadership/evidence-sharing.js';
 import { LeadershipWatcher } from '../leadership/leadership-watcher.js';
 import { MemberControl } from '../leadership/member-control.js';
-import { Supervision } from '../leadership/supervision.js';
+import { GroupSupervisors } from '../leadership/group-supervisors.js';
 import type { RelayState } from '../observability/relay-metrics.js';
 import { ZERO_POSITION } from '../position/position.js';
 import { QuotaService } from '../quota/quota-service.js';
@@ -48,11 +48,11 @@
 import { compareIncarnations, type Incarnation } from '../topology/incarnation.js';
 import { MemberDirectory } from '../topology/member-directory.js';
 import { Member, MemberGroup, type MemberEntry } from '../topology/member-group.js';
-import { FailureDetector } from './leader-doubts.js';
+import { FailureDetector } from './failure-detector.js';
 import { LinkPool } from './link-pool.js';
 import type { MemberDialer, StatusReader } from './member-link.js';
 import type { RelayContext, RelayObserver } from './relay-context.js';
-import type { PlannedStop } from './planned-stop.js';
+import type { ShutdownSchedule } from './shutdown-schedule.js';
 import { Readiness } from './readiness.js';
 import { Session } from './session.js';
 
@@ -147,14 +147,14 @@
   readonly #lostRecords: LostRecords;
   #isDutyStarted = false;
   readonly #delegations = new Delegations(() => this.#daemons.live);
-  readonly #supervision = new Supervision({
+  readonly #supervision = new GroupSupervisors({
     supervisorOptions: (group) => this.#supervisorOptions(group),
     runForever: (loop) => this.#runLoop(loop),
   });
   readonly #gatewayClient: GatewayClient;
   readonly #gatewayServer: GatewayServer;
   readonly #evidenceSharing: EvidenceSharing;
-  readonly #evidenceAnswers = new EvidenceAnswers(() => this.#evidenceSharing.ownEvidence());
+  readonly #evidenceAnswers = new EvidenceResponder(() => this.#evidenceSharing.ownEvidence());
   readonly #assignments: Assignments;
   readonly #configurationLease: ConfigurationLease;
   readonly #leaseRenewal: LeaseRenewal;
@@ -162,7 +162,7 @@
   readonly #readiness = new Readiness();
   #tickTimer: NodeJS.Timeout | null = null;
   #isStopped = false;
-  #shutdownSchedule: PlannedStop | null = null;
+  #shutdownSchedule: ShutdownSchedule | null = null;
   #startedAtMs = 0;
   /** When the active configuration was received, in monotonic milliseconds. */
   #catalogReceivedAtMs = Number.NEGATIVE_INFINITY;
@@ -181,7 +181,7 @@
       store,
       ownName: self.name,
       known: () => this.#daemons.known(now()),
-      stands: (name) => this.watched.items.has(DAEMON_PREFIX + name),
+      isStored: (name) => this.watched.items.has(DAEMON_PREFIX + name),
       keyOf: (name) => DAEMON_PREFIX + name,
       random,
       log: options.log,
@@ -205,7 +205,7 @@
     this.directory = new MemberDirectory({
       leaveMs: options.leaveMs,
       heartbeatMs: options.heartbeatMs,
-      lagMs: () => (this.#delegations.of('store') === null ? 0 : WORST_LAG_MS),
+      lagMs: () => (this.#delegations.of('store') === null ? 0 : MAX_RELAY_LAG_MS),
       group: (name) => this.#groups.get(name)?.group ?? null,
       create: (entry) => this.#createMember(entry),
       changed: (group) => {
@@ -213,8 +213,8 @@
         this.#groups.get(group.name)?.watcher.wake();
       },
       leaderInDoubt: (group) => this.#supervision.suspect(group.name),
-      ended: (member) => this.#gatewayServer.endLoans(member.pool.own),
-      forgotten: (memberId) => this.#control.forget(memberId),
+      incarnationEnded: (member) => this.#gatewayServer.endLoans(member.pool.ownPool),
+      closeControlConnections: (memberId) => this.#control.forget(memberId),
       log: options.log,
       now,
     });
@@ -225,14 +225,14 @@
       now,
     });
     this.#mesh = new PeerMesh(self, {
-      order: (order) => this.#applyOrder(order),
-      suspicion: (suspicion) => this.#handleSuspicion(suspicion),
+      handleOrder: (order) => this.#applyOrder(order),
+      handleSuspicion: (suspicion) => this.#handleSuspicion(suspicion),
       ownEvidence: (knownVersion) => this.#evidenceAnswers.answer(knownVersion),
       daemonEnded: (name) => {
         options.log('daemon_ended', { name });
         this.#supervision.daemonEnded();
       },
-      holderLeft: (host) => this.#checkHolderExit(host),
+      holderDisconnected: (host) => this.#checkHolderExit(host),
     });
     this.#gatewayClient = new GatewayClient(self.host, now, random);
     const feed = new DelegatedFeed({
@@ -240,9 +240,9 @@
       ownName: self.name,
       zone: options.zone,
       delegates: () => this.#delegations.of('store'),
-      mustBeDirect: () => this.isDutyHolder,
-      held: (key) => this.watched.items.get(key) ?? null,
-      ask: this.#gatewayClient.askChanges.bind(this.#gatewayClient),
+      mustWatchStore: () => this.isDutyHolder,
+      localItem: (key) => this.watched.items.get(key) ?? null,
+      askDelegate: this.#gatewayClient.requestChanges.bind(this.#gatewayClient),
       log: options.log,
       now,
       random,
@@ -276,7 +276,7 @@
       delegates: () => this.#delegations.of('store'),
       daemons: () => this.#daemons.live,
       registered: () => this.#daemons.expected(now()),
-      ask: this.#gatewayClient.askConfiguration.bind(this.#gatewayClient),
+      ask: this.#gatewayClient.requestConfiguration.bind(this.#gatewayClient),
       offer: (item) => this.watched.offer(item),
       log: options.log,
       now,
@@ -286,7 +286,7 @@
       ownName: self.name,
       daemons: () => this.#daemons.live,
       tenant: (name) => this.catalog.tenants.find(name),
-      ask: this.#gatewayClient.askGrant.bind(this.#gatewayClient),
+      ask: this.#gatewayClient.requestGrant.bind(this.#gatewayClient),
       isEnded: (record) => this.#mesh.isGone(record),
       now,
       random,
@@ -294,7 +294,7 @@
     this.#gatewayServer = new GatewayServer({
       pool: (groupName, life) => this.#lendablePool(groupName, life),
       ownEvidence: (knownVersion) => this.#evidenceAnswers.answer(knownVersion),
-      changes: (afterRevision, waitMs) => changeRelay.ask(afterRevision, waitMs),
+      changes: (afterRevision, waitMs) => changeRelay.changesAfter(afterRevision, waitMs),
       configuration: (heldVersion) => this.#configurationReply(heldVersion),
       grant: (request) => this.#quotas.grant(request),
     });
@@ -303,11 +303,11 @@
       zone: options.zone,
       groups: () => this.groups,
       fleetSize: () => this.#daemons.live.length,
-      askers: () => this.#delegations.of('witnesses'),
+      collectors: () => this.#delegations.of('witnesses'),
       holdsDuty: () => this.#duty.heldFence(0) !== null,
       askHolder: (timeoutMs) => this.#mesh.askEvidence(timeoutMs),
-      askDaemon: (record, timeoutMs) => this.#gatewayClient.askEvidence(record, timeoutMs),
-      gained: (group) => {
+      askDaemon: (record, timeoutMs) => this.#gatewayClient.requestEvidence(record, timeoutMs),
+      evidenceGained: (group) => {
         group.changed.notify();
         this.#groups.get(group.name)?.watcher.wake();
       },
@@ -316,7 +316,7 @@
     });
     const listener = {
       registered: () => {
-        this.#registration.registered(now());
+        this.#registration.markRegistered(now());
         for (const { watcher } of this.#groups.values()) watcher.wake();
       },
       taken: (fence: number) => this.#onDutyTaken(fence),
@@ -330,7 +330,7 @@
       (holder) => this.#hasHolderEnded(holder),
       now,
       random,
-      () => dutyTurnMs(self.name, this.#daemons.live),
+      () => dutyClaimDelayMs(self.name, this.#daemons.live),
       options.faults,
     );
     this.#context = {
@@ -340,7 +340,7 @@
       zone: options.zone,
       observer: options.observer,
       group: (name) => this.#groups.get(name)?.group ?? null,
-      plannedStop: () => this.#shutdownSchedule,
+      shutdownSchedule: () => this.#shutdownSchedule,
       now,
       readStatus,
       suspect: (group, member, reason) => this.#failureDetector.suspect(group, member, reason),
@@ -368,7 +368,7 @@
     const now = this.options.now();
     return this.groups.map((group) => ({
       name: group.name,
-      memberConnections: [...group.members.values()].reduce((sum, { pool }) => sum + pool.own.size, 0),
+      memberConnections: [...group.members.values()].reduce((sum, { pool }) => sum + pool.ownPool.size, 0),
       hasEvidence: group.leader(now) !== null,
       term: group.evidence.leader?.term ?? 0,
     }));
@@ -381,7 +381,7 @@
     await this.#mesh.listen(host, port);
     this.#listeningSinceMs = this.options.now();
     await this.#gatewayServer.listen(host, gatewayPort);
-    this.#duty.prepare();
+    this.#duty.requestLivenessLease();
     this.#runLoop(this.#evidenceSharing.run());
     this.#runLoop(this.#leaseRenewal.run());
     this.#scheduleTick();
@@ -401,7 +401,7 @@
    * Starts the shutdown: releases the promotion duty and accepts no new loans. Sessions and open loans
    * continue until the times of the schedule.
    */
-  async retire(plan: PlannedStop): Promise<void> {
+  async beginShutdown(plan: ShutdownSchedule): Promise<void> {
     this.#shutdownSchedule = plan;
     this.#retireQuotasWhileSettling();
     this.#gatewayServer.leave();
@@ -421,7 +421,7 @@
   }
 
   /** Rolls back and ends loans that are idle inside a transaction, and accepts no new loans. */
-  windUpLoans(): void {
+  drainLoans(): void {
     this.#gatewayServer.windUp();
   }
 
@@ -429,7 +429,7 @@
    * Ends every loan and resolves once all borrowers have been notified. Has no timeout of its own: the caller
    * sets one.
    */
-  finishLoans(): Promise<void> {
+  endLoans(): Promise<void> {
     return this.#gatewayServer.finish();
   }
 
@@ -518,13 +518,13 @@
       this.#control,
       listener,
       () => this.#duty.held,
-      () => options.now() >= this.#registration.countsFromMs && this.#evidenceSharing.asksWitnesses(group),
-      () => this.#evidenceSharing.isReliedOn,
+      () => options.now() >= this.#registration.countsFromMs && this.#evidenceSharing.queriesWitnesses(group),
+      () => this.#evidenceSharing.suppliesEvidence,
       options.now,
     );
     const watched: WatchedGroup = { group, watcher };
     this.#groups.set(name, watched);
-    this.directory.fill(group);
+    this.directory.addListedMembers(group);
     this.#runLoop(watcher.run());
     if (this.isDutyHolder) this.#supervision.begin(group);
   }
@@ -532,7 +532,7 @@
   #closeGroup(watched: WatchedGroup): void {
     watched.watcher.stop();
     this.#supervision.end(watched.group.name);
-    for (const member of watched.group.members.values()) member.pool.own.close();
+    for (const member of watched.group.members.values()) member.pool.ownPool.close();
   }
 
   #createMember(entry: MemberEntry): Member {
@@ -543,10 +543,10 @@
       budget: () => this.#assignments.budget(member.entry),
       dialTimeoutMs: DIAL_TIMEOUT_MS,
       limitBackoffMs: LIMIT_BACKOFF_MS,
-      idleMs: IDLE_TIMEOUT_MS,
+      idleTimeoutMs: IDLE_TIMEOUT_MS,
       random: options.random,
       serviceMs: () => member.latencyMs,
-      onTrouble: (reason) => this.#onMemberFailure(entry.groupName, member, reason),
+      onFailure: (reason) => this.#onMemberFailure(entry.groupName, member, reason),
       now: options.now,
     });
     const connections = new MemberConnections({
@@ -554,9 +554,9 @@
       memberId: entry.memberId,
       bornMs: () => member.entry.bornMs,
       pool,
-      gateways: this.#gatewayClient,
+      gatewayClient: this.#gatewayClient,
       assignment: () => this.#assignments.of(member.entry),
-      others: () => this.#daemons.live.filter(({ name }) => name !== options.self.name),
+      fallbackLenders: () => this.#daemons.live.filter(({ name }) => name !== options.self.name),
       tenantShare: (tenantName) => this.catalog.tenants.shareOf(tenantName),
       ownName: options.self.name,
     });
@@ -571,7 +571,7 @@
   #lendablePool(groupName: string, life: Incarnation): LinkPool | null {
     const member = this.#groups.get(groupName)?.group.members.get(life.memberId);
     if (member === undefined || compareIncarnations(member.entry, life) !== 'same') return null;
-    return this.#assignments.connects(member.entry) ? member.pool.own : null;
+    return this.#assignments.isAssigned(member.entry) ? member.pool.ownPool : null;
   }
 
   /**
@@ -596,15 +596,15 @@
       this.#failureDetector.check(group);
       this.directory.check(group);
       for (const member of group.members.values()) {
-        member.pool.own.trim();
-        if (this.#assignments.isGateway(member.entry)) this.#maintainIdleConnections(member.pool.own);
+        member.pool.ownPool.trim();
+        if (this.#assignments.isGateway(member.entry)) this.#maintainIdleConnections(member.pool.ownPool);
       }
     }
-    this.#control.trim();
+    this.#control.closeIdleConnections();
     this.#gatewayClient.check();
     this.#updateReadiness();
-    const hasStartedUp = this.#wasStartingUp && !this.#assignments.isYoung;
-    this.#wasStartingUp = this.#assignments.isYoung;
+    const hasStartedUp = this.#wasStartingUp && !this.#assignments.isStartingUp;
+    this.#wasStartingUp = this.#assignments.isStartingUp;
     if (this.#daemons.refresh(this.options.now()) || hasStartedUp) this.#onDaemonsChanged();
     this.#reconnectPeers();
   }
@@ -641,7 +641,7 @@
   /** Reports a suspected leader to the duty holder, which may be this daemon. */
   #reportSuspicion(suspicion: Suspicion): void {
     if (this.isDutyHolder) this.#handleSuspicion(suspicion);
-    else this.#mesh.suspect(suspicion);
+    else this.#mesh.reportSuspicion(suspicion);
   }
 
   /** Applies an order of the duty holder and answers what this daemon has acknowledged so far. */
@@ -660,16 +660,16 @@
         break;
       case 'seal':
         group.evidence.seal(order.term, this.options.now());
-        if (order.call !== undefined) group.calls.note(order.call, this.options.now());
+        if (order.call !== undefined) group.calls.record(order.call, this.options.now());
         break;
       case 'allow':
-        group.evidence.allowAgain();
+        group.evidence.liftRevocation();
         group.calls.clear();
         break;
       case 'leader':
-        group.learnLeader({ memberId: order.memberId, term: order.term }, order.held);
+        group.recordLeader({ memberId: order.memberId, term: order.term }, order.held);
         if (order.call === undefined) group.calls.clear();
-        else group.calls.note(order.call, this.options.now());
+        else group.calls.record(order.call, this.options.now());
         break;
     }
     group.changed.notify();
@@ -715,7 +715,7 @@
     const others = this.#daemons.live.filter((record) => record !== holder);
     const checkers = preferredDaemons(holder.name, others, HOLDER_EXIT_CHECKERS);
     if (checkers.some(({ name }) => name === this.options.self.name))
-      this.#runLoop(this.#mesh.lookForEnd(holder));
+      this.#runLoop(this.#mesh.probeForEnd(holder));
   }
 
   /** Handles the suspicion of any daemon, this one included, against a leader. */
@@ -726,7 +726,7 @@
   #onCoordinationKeysChanged(): void {
     const { registered, leased, unreadable } = readDaemons(this.watched.items, this.options.faults);
     if (this.#daemons.update(registered, leased, this.options.now())) this.#onDaemonsChanged();
-    this.#duty.look();
+    this.#duty.observe();
     if (!this.#isDutyStarted) this.#startDuty(registered, unreadable);
     this.#restoreLostRecords();
     this.#runLoop(this.#duty.keysChanged());
@@ -737,7 +737,7 @@
    * delegates that watch the store for the others do so.
    */
   #restoreLostRecords(): void {
-    if (!this.#lostRecords.isDue(this.watched.revision.era)) return;
+    if (!this.#lostRecords.observeEra(this.watched.revision.era)) return;
     const delegates = this.#delegations.of('store');
     const isDelegate = delegates === null || delegates.some(({ name }) => name === this.options.self.name);
     if (isDelegate) this.#runLoop(this.#lostRecords.restore());
@@ -746,13 +746,16 @@
   /** Registers this daemon, after reading what an earlier process of it has left in the store. */
   #startDuty(registered: ReadonlyMap<string, DaemonRecord>, unreadable: ReadonlySet<string>): void {
     this.#isDutyStarted = true;
-    const isBehind = this.#duty.isRegisterBehind;
-    this.#registration.firstLook(registered, this.options.now(), { unreadable, isBehind });
+    const isBehind = this.#duty.isRegistryIncomplete;
+    this.#registration.applyInitialRecords(registered, this.options.now(), {
+      unreadable,
+      isIncomplete: isBehind,
+    });
     this.#runLoop(this.#duty.run());
   }
 
   #onDaemonsChanged(): void {
-    this.watched.watchers = Math.max(1, this.#daemons.live.length);
+    this.watched.watcherCount = Math.max(1, this.#daemons.live.length);
     this.#assignments.clear();
     this.#delegations.clear();
     this.#gatewayClient.retain(this.#daemons.live);
@@ -771,7 +774,7 @@
     this.options.log('duty_taken', { fence });
     this.#mesh.connectAll(this.#daemons.live);
     for (const { group } of this.#groups.values()) {
-      group.evidence.unconfirm();
+      group.evidence.clearConfirmation();
       this.#supervision.begin(group);
     }
   }
@@ -781,7 +784,7 @@
     this.#dutyHandoverUntilMs = this.options.now() + DUTY_HANDOVER_MS;
     this.#mesh.disconnectAll();
     this.#supervision.endAll();
-    for (const { group } of this.#groups.values()) group.evidence.unconfirm();
+    for (const { group } of this.#groups.values()) group.evidence.clearConfirmation();
   }
 
   /** Number of daemons that connect directly to a member and can therefore detect that it is unreachable. */
@@ -795,7 +798,7 @@
   #order(order: HolderOrder, timeoutMs: number, recipients?: Recipients): Promise<OrderOutcomes> {
     const known = this.#daemons.known(this.options.now());
     if (recipients !== undefined && 'only' in recipients)
-      return this.#mesh.order(
+      return this.#mesh.sendOrder(
         known.filter(({ name }) => recipients.only.has(name)),
         order,
         timeoutMs,
@@ -803,9 +806,9 @@
     const isRecipient = ({ name }: DaemonRecord): boolean => recipients?.except.has(name) !== true;
     const ports = {
       known: () => known.filter(isRecipient),
-      readRegister: async () => (await listLeasedDaemons(this.options.store)).filter(isRecipient),
-      isRegisterBehind: () => this.#duty.isRegisterBehind,
-      send: this.#mesh.order.bind(this.#mesh),
+      readRegistry: async () => (await listLeasedDaemons(this.options.store)).filter(isRecipient),
+      isRegistryIncomplete: () => this.#duty.isRegistryIncomplete,
+      send: this.#mesh.sendOrder.bind(this.#mesh),
     };
     return deliverOrder(ports, order, timeoutMs);
   }
@@ -817,9 +820,9 @@
       promotion: options.promotion,
       heldFence: (reserveMs) => this.#duty.heldFence(reserveMs),
       order: (order, timeoutMs, recipients) => this.#order(order, timeoutMs, recipients),
-      callerCount: (memberId) => this.#callerCount(group, memberId),
-      isLent: (memberId) => group.members.get(memberId)?.pool.hasGateways ?? false,
-      confirmLeader: () => {
+      connectedDaemonCount: (memberId) => this.#callerCount(group, memberId),
+      usesGateways: (memberId) => group.members.get(memberId)?.pool.hasGateways ?? false,
+      leaderPromoted: () => {
         const watcher = this.#groups.get(group.name)?.watcher;
         watcher?.confirm();
         watcher?.wake();
--- a/src/relay/next-life.test.ts
+++ b/src/relay/restarted-leader.test.ts
@@ -98,8 +98,8 @@
 function scene(process: FakeProcess, held: Position | null): Scene {
   const now = (): number => performance.now();
   const group = testGroup({ leader: process }, now);
-  group.learnLeader({ memberId: 'leader', term: TERM }, held);
-  group.evidence.witness(TERM, 0, now());
+  group.recordLeader({ memberId: 'leader', term: TERM }, held);
+  group.evidence.recordWitness(TERM, 0, now());
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -108,7 +108,7 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now,
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     suspect: () => undefined,
     readStatus: ({ rows }) => JSON.parse(rows[0] ?? 'null') as MemberStatus | null,
   };
@@ -210,8 +210,8 @@
    */
   test('is no floor once another leads', () => {
     const { group } = scene(new FakeProcess(COMMIT, true), COMMIT);
-    group.learnLeader({ memberId: 'other', term: TERM + 1 }, null);
-    group.recordLed(performance.now(), ZERO_POSITION, LEADER);
+    group.recordLeader({ memberId: 'other', term: TERM + 1 }, null);
+    group.recordLeaderPosition(performance.now(), ZERO_POSITION, LEADER);
     assert.equal(group.positions.floorSince(0), null);
   });
 });
--- a/src/topology/member-directory.ts
+++ b/src/topology/member-directory.ts
@@ -45,9 +45,9 @@
    * An incarnation has ended: requests that this daemon runs for other daemons over its connections must
    * stop.
    */
-  ended(member: Member): void;
+  incarnationEnded(member: Member): void;
   /** The daemon's control connections to a member have to be closed. */
-  forgotten(memberId: string): void;
+  closeControlConnections(memberId: string): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
 }
@@ -160,7 +160,7 @@
   }
 
   /** Adds the listed members to a group that is watched from now on. */
-  fill(group: MemberGroup): void {
+  addListedMembers(group: MemberGroup): void {
     for (const known of this.#known.values())
       if (known.entry.groupName === group.name && isListed(known)) this.#applyEntry(known);
   }
@@ -206,7 +206,7 @@
   /** The current or former member of an entry's incarnation, or `null`. */
   #memberOf({ groupName, memberId }: MemberEntry): Member | null {
     const group = this.options.group(groupName);
-    return group?.members.get(memberId) ?? group?.formerOf(memberId) ?? null;
+    return group?.members.get(memberId) ?? group?.findFormer(memberId) ?? null;
   }
 
   /** Discards ids that have been unlisted for longer than the retention time. */
@@ -248,16 +248,16 @@
   /** Ends the incarnation that has an id in a group, whether it receives requests or not. */
   #endIncarnation(group: MemberGroup, memberId: string): void {
     const used = group.members.get(memberId);
-    const member = used ?? group.formerOf(memberId);
+    const member = used ?? group.findFormer(memberId);
     if (member !== null) {
       group.members.delete(memberId);
-      group.keepFormer(member);
+      group.addFormer(member);
       member.missingSinceMs = this.options.now();
       this.#closeConnections(member);
     }
     if (used !== undefined) this.#logRemoved(group, used, 'reborn');
     if (group.evidence.leader?.memberId !== memberId) return;
-    group.evidence.loseLeader();
+    group.evidence.clearLeader();
     this.options.leaderInDoubt(group);
   }
 
@@ -267,9 +267,9 @@
    */
   #closeConnections(member: Member): void {
     member.hasEnded = true;
-    this.options.ended(member);
+    this.options.incarnationEnded(member);
     member.pool.end();
-    this.options.forgotten(member.entry.memberId);
+    this.options.closeControlConnections(member.entry.memberId);
   }
 
   #applyEntry(known: KnownMember): void {
@@ -297,8 +297,8 @@
 
   /** A former member receives requests again. If it is still draining, its leave time is not extended. */
   #readmit(group: MemberGroup, member: Member, entry: MemberEntry): void {
-    group.dropFormer(member);
-    member.pool.own.reopen();
+    group.removeFormer(member);
+    member.pool.ownPool.reopen();
     group.members.set(entry.memberId, member);
     this.#logAdded(group, entry);
     this.#update(group, member, entry);
@@ -320,7 +320,7 @@
   #move(group: MemberGroup, member: Member, known: KnownMember): void {
     const { entry } = known;
     this.#closeConnections(member);
-    group.dropFormer(member);
+    group.removeFormer(member);
     if (group.members.delete(entry.memberId)) this.#logRemoved(group, member, 'moved');
     this.#add(group, known);
     const moved = group.members.get(entry.memberId);
@@ -333,7 +333,7 @@
     const details = { group: group.name, member: memberId, born: bornMs, primary: saysPrimary };
     this.options.log('member_role', details);
     if (isLeader === saysPrimary) return;
-    group.evidence.loseLeader();
+    group.evidence.clearLeader();
     this.options.leaderInDoubt(group);
   }
 
@@ -360,9 +360,9 @@
   #retire(group: MemberGroup, member: Member, reason: RemovalReason): void {
     const { memberId } = member.entry;
     group.members.delete(memberId);
-    group.keepFormer(member);
-    member.pool.own.close();
-    if (group.evidence.leader?.memberId === memberId) group.evidence.loseLeader();
+    group.addFormer(member);
+    member.pool.ownPool.close();
+    if (group.evidence.leader?.memberId === memberId) group.evidence.clearLeader();
     this.#logRemoved(group, member, reason);
   }
 
@@ -391,7 +391,7 @@
       if (missingSinceMs === null || now - missingSinceMs < FORMER_RETENTION_MS) continue;
       group.former.delete(key);
       // After an incarnation has ended, the control connections under its id belong to the next one.
-      if (!hasEnded) this.options.forgotten(entry.memberId);
+      if (!hasEnded) this.options.closeControlConnections(entry.memberId);
     }
   }
 }
--- a/src/topology/member-group.ts
+++ b/src/topology/member-group.ts
@@ -5,10 +5,10 @@
  */
 import { ChangeSignal } from '../common/signal.js';
 import type { Acknowledged } from '../leadership/acknowledged.js';
-import { CommitWatch } from '../leadership/commit-watch.js';
-import type { LastLed } from '../leadership/last-led.js';
-import { CallNote } from '../leadership/open-calls.js';
-import { LeadershipEvidence, type CommitStanding, type Leader } from '../leadership/leadership-evidence.js';
+import { CommitTracker } from '../leadership/commit-tracker.js';
+import type { LastLeader } from '../leadership/last-leader.js';
+import { OpenCallRecord } from '../leadership/open-calls.js';
+import { LeadershipEvidence, type CommitStatus, type Leader } from '../leadership/leadership-evidence.js';
 import { PositionHistory, type ReadFloor } from '../leadership/position-history.js';
 import { formatIncarnation, type Incarnation } from './incarnation.js';
 import { ReplicaLag } from './replica-lag.js';
@@ -122,7 +122,7 @@
   }
 
   /** Updates the lag estimate with whether the member held the floor of a read. */
-  recordFloor({ reachedAtMs }: ReadFloor, wasHeld: boolean, nowMs: number): void {
+  recordFloorResult({ reachedAtMs }: ReadFloor, wasHeld: boolean, nowMs: number): void {
     if (wasHeld) this.lag.recordHeld(nowMs - reachedAtMs, nowMs);
     else this.lag.recordBehind(nowMs - reachedAtMs, nowMs);
   }
@@ -133,7 +133,7 @@
   }
 
   /** Records an answer at `nowMs`, and stops avoiding the member. */
-  trust(nowMs: number): void {
+  recordAnswer(nowMs: number): void {
     this.#avoidUntilMs = Number.NEGATIVE_INFINITY;
     this.#answeredAtMs = nowMs;
   }
@@ -173,9 +173,9 @@
   readonly former = new Map<string, Member>();
   readonly evidence: LeadershipEvidence;
   readonly positions = new PositionHistory();
-  readonly commits = new CommitWatch();
+  readonly commits = new CommitTracker();
   /** Calls to the platform that the duty holder has announced. */
-  readonly calls = new CallNote();
+  readonly calls = new OpenCallRecord();
   /** Since when no leader has been proven, in monotonic milliseconds; `null` while there is one. */
   leaderlessSinceMs: number | null = null;
   /** Wakes requests that wait for a leader or a member. */
@@ -221,8 +221,8 @@
    * Records a commit as acknowledged if its standing is `proven`; otherwise it must not be acknowledged yet,
    * or at all.
    */
-  acknowledge(position: Position, nowMs: number): CommitStanding {
-    const standing = this.evidence.standing(position.term, nowMs);
+  acknowledge(position: Position, nowMs: number): CommitStatus {
+    const standing = this.evidence.commitStatus(position.term, nowMs);
     if (standing === 'proven') this.#acknowledged = laterPosition(this.#acknowledged, position);
     return standing;
   }
@@ -236,11 +236,15 @@
    * is ignored: the answer may come from a later incarnation of the old leader, and the position that would
    * reveal this is no longer known.
    */
-  recordLed(askedAtMs: number, position: Position, leader: Leader | null = this.evidence.leader): void {
+  recordLeaderPosition(
+    askedAtMs: number,
+    position: Position,
+    leader: Leader | null = this.evidence.leader,
+  ): void {
     const believed = this.evidence.leader;
     if (leader?.memberId !== believed?.memberId || leader?.term !== believed?.term) return;
     // A lower position comes from another incarnation, or answers an older request.
-    const held = this.heldByLeader;
+    const held = this.leaderPosition;
     if (held !== null && !hasReached(position, held)) return;
     const wasKnown = this.positions.floorSince(askedAtMs - FLOOR_VALIDITY_MS) !== null;
     this.#firstLeaderPosition ??= position;
@@ -255,11 +259,11 @@
    *
    * @param held - the log position that the member reports to have received, or `null` if it is not known
    */
-  learnLeader(leader: Leader, held: Position | null): boolean {
-    const isNew = this.evidence.believe(leader);
+  recordLeader(leader: Leader, held: Position | null): boolean {
+    const isNew = this.evidence.observeLeader(leader);
     const { leader: believed } = this.evidence;
     if (believed?.memberId !== leader.memberId || believed.term !== leader.term) return isNew;
-    const member = this.members.get(leader.memberId) ?? this.formerOf(leader.memberId);
+    const member = this.members.get(leader.memberId) ?? this.findFormer(leader.memberId);
     if (member !== null) this.#lastLeader = { term: leader.term, member };
     if (held !== null) {
       this.#advanceLeaderPosition(held);
@@ -269,7 +273,7 @@
   }
 
   /** Records a position that another member has received in the current term; the leader holds it, too. */
-  noteReceived(position: Position): void {
+  recordReplicaPosition(position: Position): void {
     this.#advanceLeaderPosition(position);
   }
 
@@ -277,7 +281,7 @@
    * The first position that the leader of a term reported itself, or `null`. It is an upper bound for all
    * commits acknowledged in earlier terms, because only a member that holds those is promoted.
    */
-  openedWith(term: number): Position | null {
+  termStartPosition(term: number): Position | null {
     return this.#termStart?.term === term ? this.#termStart.position : null;
   }
 
@@ -290,7 +294,7 @@
    * The incarnation that led a term, or `null` if this daemon does not know it. Kept after the leader is
    * lost, because the next holder of the promotion duty has to know whose log holds all acknowledged commits.
    */
-  ledBy(term: number): Member | null {
+  leaderOfTerm(term: number): Member | null {
     return this.#lastLeader?.term === term ? this.#lastLeader.member : null;
   }
 
@@ -304,26 +308,26 @@
    * The latest known position of the current leader, or `null` if none is known. A restarted process with the
    * leader's id does not hold it, although the evidence of its leadership may not have expired yet.
    */
-  get heldByLeader(): Position | null {
+  get leaderPosition(): Position | null {
     return this.#leaderPosition !== null && this.#leaderPosition.term === this.evidence.leader?.term
       ? this.#leaderPosition.position
       : null;
   }
 
   /** The former member with an id whose incarnation has not ended, or `null`. */
-  formerOf(memberId: string): Member | null {
+  findFormer(memberId: string): Member | null {
     for (const member of this.former.values())
       if (member.entry.memberId === memberId && !member.hasEnded) return member;
     return null;
   }
 
   /** Retains a member that receives no more requests. */
-  keepFormer(member: Member): void {
-    this.dropFormer(member);
+  addFormer(member: Member): void {
+    this.removeFormer(member);
     this.former.set(this.#formerKey(member), member);
   }
 
-  dropFormer(member: Member): void {
+  removeFormer(member: Member): void {
     for (const [key, former] of this.former) if (former === member) this.former.delete(key);
   }
 
@@ -337,7 +341,7 @@
   }
 
   /** The last leader that this daemon knows of, with its term, or `null`. */
-  get lastLed(): LastLed | null {
+  get lastLed(): LastLeader | null {
     if (this.#lastLeader === null) return null;
     const { memberId, bornMs } = this.#lastLeader.member.entry;
     return { term: this.#lastLeader.term, life: { memberId, bornMs } };
--- a/src/topology/member-lives.property.test.ts
+++ b/src/topology/member-lives.property.test.ts
@@ -137,12 +137,13 @@
         return;
       case 'lead':
         for (const group of scene.groups.values())
-          if (group.members.has(next.id)) group.evidence.believe({ memberId: next.id, term: scene.now });
+          if (group.members.has(next.id))
+            group.evidence.observeLeader({ memberId: next.id, term: scene.now });
         return;
       case 'use':
         for (const group of scene.groups.values()) {
           const member = group.members.get(next.id);
-          if (member !== undefined && !member.pool.own.isExhausted) await scene.use(member);
+          if (member !== undefined && !member.pool.ownPool.isExhausted) await scene.use(member);
         }
         return;
       case 'listing':
@@ -312,7 +313,7 @@
     const { now } = this.scene;
     const endedAtMs = this.#endedAtMs.get(member) ?? now;
     this.#endedAtMs.set(member, endedAtMs);
-    assert.equal(member.pool.own.size, 0, 'no connection of an ended incarnation');
+    assert.equal(member.pool.ownPool.size, 0, 'no connection of an ended incarnation');
     const isKept = this.scene.group(member.entry.groupName).former.get(name) === member;
     assert.equal(isKept, now - endedAtMs < FORMER_MS, `${name} ${now - endedAtMs} ms after its end`);
   }
--- a/src/topology/replica-lag.test.ts
+++ b/src/topology/replica-lag.test.ts
@@ -66,7 +66,7 @@
 test('a member that has reported a position is never assumed to lack it', () => {
   const member = new Member(ENTRY, {} as MemberConnections);
   const floor = { position: { term: 1, index: 5 }, reachedAtMs: 990 };
-  member.recordFloor(floor, false, 1000);
+  member.recordFloorResult(floor, false, 1000);
   assert.ok(member.isBehind({ ...floor, reachedAtMs: 995 }, 1001), 'too recent for its lag');
   assert.ok(!member.isBehind({ ...floor, reachedAtMs: 0 }, 1001));
   member.recordPosition({ term: 1, index: 5 }, 1010);
--- a/src/topology/select-member.ts
+++ b/src/topology/select-member.ts
@@ -70,7 +70,7 @@
  * Candidates other than the best one at which the read may also wait for a connection; the first that has one
  * available serves it. Excludes members to be avoided and those with a clearly higher failure share.
  */
-export function alternatives(
+export function alternativeCandidates(
   best: ReadCandidate,
   candidates: readonly ReadCandidate[],
   requirements: ReadRequirements,
--- a/test/integration/connection-congestion.test.ts
+++ b/test/integration/connection-congestion.test.ts
@@ -86,7 +86,7 @@
       const ask = async (): Promise<void> => {
         const answer = await control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS, true);
         if (answer.kind === 'answered') this.answered += 1;
-        control.trim();
+        control.closeIdleConnections();
         setTimeout(() => void ask(), QUESTION_EACH_MS);
       };
       setTimeout(() => void ask(), (Number(name.slice(1)) * 300) / DAEMONS);
@@ -139,10 +139,10 @@
       memberId: ENTRY.memberId,
       bornMs: () => null,
       pool,
-      gateways: lend as unknown as GatewayClient,
+      gatewayClient: lend as unknown as GatewayClient,
       assignment: () => ({ gateways: this.#gateways, standbys: [], budget: CONNECTIONS_EACH }),
       tenantShare: () => 1,
-      others: () => this.#records,
+      fallbackLenders: () => this.#records,
       ownName: name,
     });
     return new Member(ENTRY, connections);
@@ -162,9 +162,9 @@
       budget: () => budget,
       dialTimeoutMs: 400,
       limitBackoffMs: 100,
-      idleMs: 800,
+      idleTimeoutMs: 800,
       serviceMs: () => MODEL.workMs,
-      onTrouble: () => undefined,
+      onFailure: () => undefined,
       now: () => this.time.now,
       random: () => 0.5,
     });
--- a/test/support/listed-members.ts
+++ b/test/support/listed-members.ts
@@ -65,8 +65,8 @@
       create: (entry) => this.#create(entry),
       changed: () => undefined,
       leaderInDoubt: ({ name }) => void this.doubted.push(name),
-      ended: () => undefined,
-      forgotten: (memberId) => void this.forgotten.push(memberId),
+      incarnationEnded: () => undefined,
+      closeControlConnections: (memberId) => void this.forgotten.push(memberId),
       log: (event, details) => void this.events.push({ event, details }),
       now: () => this.now,
     });
@@ -78,7 +78,7 @@
   watch(name: string): void {
     const group = new MemberGroup(name);
     this.groups.set(name, group);
-    this.directory.fill(group);
+    this.directory.addListedMembers(group);
   }
 
   /** A group by its name. */
@@ -133,9 +133,9 @@
       budget: () => 4,
       dialTimeoutMs: 50,
       limitBackoffMs: 5,
-      idleMs: 60_000,
+      idleTimeoutMs: 60_000,
       serviceMs: () => 5,
-      onTrouble: () => undefined,
+      onFailure: () => undefined,
       random: () => 0.5,
       now,
     });
@@ -144,10 +144,10 @@
       memberId,
       bornMs: () => member.entry.bornMs,
       pool,
-      gateways: new GatewayClient('h', now, () => 0.5),
+      gatewayClient: new GatewayClient('h', now, () => 0.5),
       assignment: () => ({ gateways: null, standbys: [], budget: 4 }),
       tenantShare: () => 1,
-      others: () => [],
+      fallbackLenders: () => [],
       ownName: 'd',
     });
     const member: Member = new Member(entry, connections);
--- a/test/support/next-life.ts
+++ b/test/support/next-life.ts
@@ -21,7 +21,7 @@
  */
 export function startNextLife(scene: ModelledGroup, memberId: string, kept: Kept): Member {
   const { group } = scene;
-  const before = group.members.get(memberId) ?? group.formerOf(memberId);
+  const before = group.members.get(memberId) ?? group.findFormer(memberId);
   if (before === null) throw new Error(`no member ${memberId}`);
   const model = scene.member(memberId);
   model.state = 'running';
@@ -31,8 +31,8 @@
   lastBornMs += 1;
   before.hasEnded = true;
   group.members.delete(memberId);
-  group.keepFormer(before);
+  group.addFormer(before);
   group.members.set(memberId, new Member({ ...before.entry, bornMs: lastBornMs }, {} as MemberConnections));
-  if (group.evidence.leader?.memberId === memberId) group.evidence.loseLeader();
+  if (group.evidence.leader?.memberId === memberId) group.evidence.clearLeader();
   return before;
 }
