--- a/src/tenancy/authorize.ts
+++ b/src/tenancy/authorize.ts
@@ -1,8 +1,8 @@
 /**
- * Decides whether a caller may use a route, by the configuration in force. Pure.
+ * Authorizes callers for routes under the active configuration. Pure.
  *
- * Sessions live long, and keys are taken away beneath them: so the question is asked when a session opens, and again for each
- * statement that a member is to run.
+ * A key can be revoked while a session that uses it is open, so authorization is checked when a session opens
+ * and again for each statement that is sent to a member.
  *
  * @packageDocumentation
  */
@@ -10,28 +10,32 @@
 import type { KeyDigest } from './key-digest.js';
 import { NO_TENANT, type Tenant } from './tenant-register.js';
 
-/** Who calls, as far as a route asks for it. */
+/** The identity that a caller was authorized under. */
 export interface Caller {
-  /** Name of the tenant that members are told. */
+  /** Tenant name that is passed to members. */
   readonly tenantName: string;
-  /** The tenant to whose account the caller's operations go; `null` on public routes. */
+  /** The tenant whose quota the caller's operations are charged to; `null` on public routes. */
   readonly account: Tenant | null;
 }
 
-/** What is decided. */
+/** Result of an authorization check. */
 export type Authorization =
   | { readonly kind: 'granted'; readonly caller: Caller }
   /** No tenant holds the key. */
   | { readonly kind: 'unknown_key' }
-  /** The configuration may have been replaced by one without the key: whoever can show that it was not may serve. */
+  /**
+   * The configuration may have been replaced by one without the key. A daemon that holds a valid proof for
+   * its configuration may still serve the request.
+   */
   | { readonly kind: 'unproven' };
 
-const ANYBODY: Authorization = { kind: 'granted', caller: { tenantName: NO_TENANT, account: null } };
+const ANONYMOUS: Authorization = { kind: 'granted', caller: { tenantName: NO_TENANT, account: null } };
 
 /**
- * Decides for one caller.
+ * Checks one caller.
  *
- * @param isProven - whether the configuration can be shown to have been the newest a short time ago
+ * @param isProven - whether the configuration lease is valid: the configuration was the newest a short time
+ * ago
  */
 export function authorize(
   { tenants }: Pick<CatalogDocument, 'tenants'>,
@@ -41,7 +45,7 @@
 ): Authorization {
   const tenant = tenants.holderOf(key);
   if (route.isPublic) {
-    if (tenant === null || !isProven) return ANYBODY;
+    if (tenant === null || !isProven) return ANONYMOUS;
     return { kind: 'granted', caller: { tenantName: tenant.name, account: null } };
   }
   if (!isProven) return { kind: 'unproven' };
--- a/src/tenancy/configuration-lease.ts
+++ b/src/tenancy/configuration-lease.ts
@@ -1,10 +1,11 @@
 /**
- * For how long this daemon may act on the configuration that it holds. Pure.
+ * The lease that limits how long this daemon may act on its configuration. Pure.
  *
- * A key that was taken away must not be served for longer than a bound after that was acknowledged, also by a daemon that
- * hears of nothing. So the configuration is held under a lease: it may be acted on while it is known to have been the newest
- * at a moment less than the bound ago. That moment is taken before the question is put, by this daemon's monotonic clock, so
- * that late answers, pauses of the process and the time that a proof spends at other daemons only shorten the lease.
+ * Once the revocation of a key has been acknowledged, no daemon may serve the key for longer than the
+ * revocation bound, not even one that receives no updates. The configuration is therefore held under a lease:
+ * it may be acted on while it is known to have been the newest one less than the bound ago. The time of that
+ * proof is read from this daemon's monotonic clock before the request is sent, so late replies, process
+ * pauses and the time that a proof spends at other daemons only shorten the lease.
  *
  * @packageDocumentation
  */
@@ -12,97 +13,112 @@
 import { NO_REVISION, type Revision } from '../coordination/revision.js';
 
 /**
- * What somebody knows: at a moment, no configuration was newer than the one of this version. Versions rise with each change of the
- * operator's, also where revisions of the store go back.
+ * Proof that no configuration was newer than this version at a point in time. Versions increase with each
+ * change that the operator makes, even when the revisions of the store go back.
  */
 export interface ConfigurationProof {
   readonly version: number;
-  /** Monotonic milliseconds of this daemon. */
+  /** Monotonic clock of this daemon, in milliseconds. */
   readonly provenAtMs: number;
 }
 
-/** A proof as it is handed on: clocks of daemons have nothing in common but their pace. */
+/**
+ * A proof in the form sent to other daemons: with its age, because the clocks of daemons share only their
+ * rate.
+ */
 export interface AgedProof {
   readonly version: number;
-  /** At least the time since the moment of the proof, in milliseconds. */
+  /** Upper bound of the time since the proof was established, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** Taken off the bound, in milliseconds: clocks of machines run at slightly different paces. */
-const SAFETY_MS = 50;
+/** Subtracted from the bound, in milliseconds: clocks of machines run at slightly different rates. */
+const CLOCK_DRIFT_MARGIN_MS = 50;
 
-/** The lease of one daemon. */
+/** The configuration lease of one daemon. */
 export class ConfigurationLease {
   #heldVersion = 0;
   #heldRevision = NO_REVISION;
-  /** The highest version that is known to have been accepted. */
-  #newestVersion = 0;
-  /** A moment by which it had been accepted: whoever says later that an older one is the newest has it from a store that went back. */
-  #newestSinceMs = Number.NEGATIVE_INFINITY;
-  /** The latest proof, also of a configuration that has not come yet. */
-  #latest: ConfigurationProof | null = null;
-  /** The latest proof that what is held was the newest. */
-  #held: ConfigurationProof | null = null;
+  /** The highest version known to have been accepted. */
+  #newestAcceptedVersion = 0;
+  /**
+   * A time by which that version had been accepted. A later proof of an older version comes from a store that
+   * was restored from an earlier copy.
+   */
+  #newestAcceptedByMs = Number.NEGATIVE_INFINITY;
+  /** The most recent proof, possibly of a configuration that this daemon has not received yet. */
+  #latestProof: ConfigurationProof | null = null;
+  /** The most recent proof that covers the held configuration. */
+  #heldProof: ConfigurationProof | null = null;
 
-  /** @param boundMs - how long a key may be served after it was taken away; `null` when no bound is strict */
+  /**
+   * @param boundMs - how long a key may be served after its revocation; `null` when the bound is not strict
+   */
   constructor(readonly boundMs: number | null) {}
 
-  /** True when proofs are needed. */
-  get isNeeded(): boolean {
+  /** True when a proof is needed to act on the configuration: the bound is strict. */
+  get requiresProof(): boolean {
     return this.boundMs !== null;
   }
 
-  /** Version of the configuration in force; 0 before the first. */
+  /** Version of the active configuration; 0 before the first. */
   get heldVersion(): number {
     return this.#heldVersion;
   }
 
-  /** Revision under which the store last told it; {@link NO_REVISION} before the first. */
+  /** Revision under which the store last returned it; {@link NO_REVISION} before the first. */
   get heldRevision(): Revision {
     return this.#heldRevision;
   }
 
-  /** The configuration of a version is in force, and stands in the store under a revision. */
+  /** Records that the configuration of this version is active and is stored under this revision. */
   adopt(version: number, revision: Revision, nowMs: number): void {
     if (version < this.#heldVersion) return;
     this.#heldVersion = version;
     this.#heldRevision = revision;
-    this.hear(version, nowMs);
-    if (this.#latest !== null && this.#latest.version <= version) this.#held = this.#latest;
+    this.observeVersion(version, nowMs);
+    if (this.#latestProof !== null && this.#latestProof.version <= version)
+      this.#heldProof = this.#latestProof;
   }
 
-  /** Another daemon has a version in force, so it had been accepted by then. */
-  hear(version: number, nowMs: number): void {
-    if (version <= this.#newestVersion) return;
-    this.#newestVersion = version;
-    this.#newestSinceMs = nowMs;
+  /** Records that a version had been accepted by `nowMs`, because it is active at some daemon. */
+  observeVersion(version: number, nowMs: number): void {
+    if (version <= this.#newestAcceptedVersion) return;
+    this.#newestAcceptedVersion = version;
+    this.#newestAcceptedByMs = nowMs;
   }
 
-  /** Takes a proof. */
+  /** Records a proof, and renews the lease if the proof covers the held configuration. */
   prove(proof: ConfigurationProof): void {
-    this.hear(proof.version, proof.provenAtMs);
-    const isContradicted = proof.version < this.#newestVersion && proof.provenAtMs >= this.#newestSinceMs;
+    this.observeVersion(proof.version, proof.provenAtMs);
+    const isContradicted =
+      proof.version < this.#newestAcceptedVersion && proof.provenAtMs >= this.#newestAcceptedByMs;
     if (isContradicted) return;
-    if (this.#latest === null || proof.provenAtMs > this.#latest.provenAtMs) this.#latest = proof;
+    if (this.#latestProof === null || proof.provenAtMs > this.#latestProof.provenAtMs)
+      this.#latestProof = proof;
     if (proof.version > this.#heldVersion) return;
-    if (this.#held === null || proof.provenAtMs > this.#held.provenAtMs) this.#held = proof;
+    if (this.#heldProof === null || proof.provenAtMs > this.#heldProof.provenAtMs) this.#heldProof = proof;
   }
 
-  /** True while the configuration in force may be acted on. */
+  /** True while the lease is valid: the active configuration may be acted on. */
   isProven(nowMs: number): boolean {
     if (this.boundMs === null) return true;
-    return this.#held !== null && nowMs - this.#held.provenAtMs < this.boundMs - SAFETY_MS;
+    return (
+      this.#heldProof !== null && nowMs - this.#heldProof.provenAtMs < this.boundMs - CLOCK_DRIFT_MARGIN_MS
+    );
   }
 
-  /** Time since the moment of the proof by which the configuration is acted on, in milliseconds; `null` without one. */
+  /** Age of the proof that covers the held configuration, in milliseconds; `null` without one. */
   ageMs(nowMs: number): number | null {
-    return this.#held === null ? null : nowMs - this.#held.provenAtMs;
+    return this.#heldProof === null ? null : nowMs - this.#heldProof.provenAtMs;
   }
 
-  /** The latest proof, for another daemon; `null` when it is of no use any more. */
+  /**
+   * The most recent proof, to send to another daemon; `null` without one that is younger than a strict bound.
+   */
   handOn(nowMs: number): AgedProof | null {
-    if (this.boundMs === null || this.#latest === null) return null;
-    const ageMs = nowMs - this.#latest.provenAtMs;
-    return ageMs < this.boundMs ? { version: this.#latest.version, ageMs } : null;
+    if (this.boundMs === null || this.#latestProof === null) return null;
+    const ageMs = nowMs - this.#latestProof.provenAtMs;
+    return ageMs < this.boundMs ? { version: this.#latestProof.version, ageMs } : null;
   }
 }
--- a/src/tenancy/lease-renewal.test.ts
+++ b/src/tenancy/lease-renewal.test.ts
@@ -1,5 +1,5 @@
 /**
- * Whom a daemon asks for a proof of its configuration.
+ * Renewal of the configuration lease: which sources a daemon asks for a proof, and in which order.
  *
  * @packageDocumentation
  */
@@ -14,12 +14,12 @@
 
 const KEY = 'configuration';
 const BOUND_MS = 5000;
-const NEAR = daemonRecord('near', { zone: 'a' });
-const FAR = daemonRecord('far', { zone: 'b' });
+const SAME_ZONE = daemonRecord('near', { zone: 'a' });
+const OTHER_ZONE = daemonRecord('far', { zone: 'b' });
 const ITEM: StoredItem = { key: KEY, value: Buffer.from('new'), revision: revisionAt(9) };
 
-/** A daemon that holds version 7, its renewal, and whom it has asked. */
-function scene(overrides: Partial<LeaseRenewalOptions> = {}): {
+/** A daemon that holds version 7, with its renewal and the names of the daemons that it has asked. */
+function createFixture(overrides: Partial<LeaseRenewalOptions> = {}): {
   readonly renewal: LeaseRenewal;
   readonly lease: ConfigurationLease;
   readonly store: MemoryStore;
@@ -41,8 +41,8 @@
     configurationKey: KEY,
     ownName: 'self',
     zone: 'a',
-    delegates: () => [FAR, NEAR],
-    daemons: () => [FAR, NEAR],
+    delegates: () => [OTHER_ZONE, SAME_ZONE],
+    daemons: () => [OTHER_ZONE, SAME_ZONE],
     registered: () => [],
     ask: (record, heldVersion, timeoutMs) => {
       asked.push(record.name);
@@ -64,25 +64,25 @@
   return Promise.resolve({ version, proof: { version, ageMs }, item: null });
 }
 
-test('a daemon that follows others asks one of its zone, and counts the age of the proof', async () => {
-  const { renewal, lease, asked, store } = scene({ ask: () => proofOf(7, 1500) });
+test('a follower asks a delegate of its zone, and takes the age of the proof into account', async () => {
+  const { renewal, lease, asked, store } = createFixture({ ask: () => proofOf(7, 1500) });
   assert.ok(await renewal.renew());
   assert.deepEqual(asked, ['near']);
   assert.equal(store.reads, 0);
   assert.equal(lease.ageMs(1000), 1500);
 });
 
-test('one that has no proof is left for one of another zone, not for the store', async () => {
+test('after a delegate without a proof, one of another zone is asked, not the store', async () => {
   const ask = (record: { name: string }): Promise<PassedConfiguration> =>
     record.name === 'near' ? Promise.resolve({ version: 7, proof: null, item: null }) : proofOf(7, 10);
-  const { renewal, asked, store } = scene({ ask });
+  const { renewal, asked, store } = createFixture({ ask });
   assert.ok(await renewal.renew());
   assert.deepEqual(asked, ['near', 'far']);
   assert.equal(store.reads, 0);
 });
 
-test('one whose proof is old may be cut off itself: others are asked for a younger one', async () => {
-  const { renewal, lease, asked } = scene({
+test('after an old proof, another delegate is asked for a younger one', async () => {
+  const { renewal, lease, asked } = createFixture({
     ask: ({ name }) => proofOf(7, name === 'near' ? 4000 : 300),
   });
   assert.ok(await renewal.renew());
@@ -90,57 +90,63 @@
   assert.equal(lease.ageMs(1000), 300);
 });
 
-test('of the delegates of a zone the first asks the store, another only when nobody has a proof', async () => {
+test('the first delegate of a zone reads from the store, others only if no daemon has a proof', async () => {
   const self = daemonRecord('self', { zone: 'a' });
-  const first = scene({ delegates: () => [self, NEAR, FAR], ask: () => proofOf(7, 10) });
+  const first = createFixture({ delegates: () => [self, SAME_ZONE, OTHER_ZONE], ask: () => proofOf(7, 10) });
   assert.ok(await first.renewal.renew());
   assert.deepEqual([first.store.reads, first.asked], [1, []]);
-  const second = scene({ delegates: () => [NEAR, self, FAR], ask: () => proofOf(7, 10) });
+  const second = createFixture({ delegates: () => [SAME_ZONE, self, OTHER_ZONE], ask: () => proofOf(7, 10) });
   assert.ok(await second.renewal.renew());
   assert.deepEqual([second.store.reads, second.asked], [0, ['near']]);
   const noProof = Promise.resolve({ version: 7, proof: null, item: null });
-  const alone = scene({ delegates: () => [NEAR, self, FAR], ask: () => noProof });
+  const alone = createFixture({ delegates: () => [SAME_ZONE, self, OTHER_ZONE], ask: () => noProof });
   assert.ok(await alone.renewal.renew());
   assert.deepEqual([alone.store.reads, alone.asked], [1, ['near', 'far']]);
 });
 
-test('nobody asks the store while the daemons that do have no proof: it is down for them', async () => {
-  const { renewal, store } = scene({ ask: () => Promise.resolve({ version: 7, proof: null, item: null }) });
+// Delegates without a proof cannot read from the store either, so a read would fail.
+test('a follower does not read from the store while the delegates answer without a proof', async () => {
+  const { renewal, store } = createFixture({
+    ask: () => Promise.resolve({ version: 7, proof: null, item: null }),
+  });
   assert.equal(await renewal.renew(), false);
   assert.equal(store.reads, 0);
 });
 
-test('who reaches no daemon asks the store', async () => {
-  const { renewal, lease, store } = scene();
+test('a daemon that reaches no other daemon reads from the store', async () => {
+  const { renewal, lease, store } = createFixture();
   assert.ok(await renewal.renew());
   assert.equal(store.reads, 1);
   assert.ok(lease.isProven(1000));
 });
 
-test('a daemon that the store turns away asks others, also in a small fleet', async () => {
-  const { renewal, lease, store, asked } = scene({ delegates: () => null, ask: () => proofOf(7, 100) });
+test('a daemon whose read from the store fails asks other daemons, also in a small fleet', async () => {
+  const { renewal, lease, store, asked } = createFixture({
+    delegates: () => null,
+    ask: () => proofOf(7, 100),
+  });
   store.isDown = true;
   assert.ok(await renewal.renew());
   assert.deepEqual(asked, ['near']);
   assert.ok(lease.isProven(1000));
 });
 
-test('a newer configuration comes with the answer, from the store and from a daemon', async () => {
-  const fromDaemon = scene({
+test('a newer configuration is taken from the reply, of the store and of a daemon', async () => {
+  const fromDaemon = createFixture({
     ask: () => Promise.resolve({ version: 9, proof: { version: 9, ageMs: 0 }, item: ITEM }),
   });
   assert.ok(await fromDaemon.renewal.renew());
   assert.deepEqual(fromDaemon.offered, [ITEM]);
   assert.ok(fromDaemon.lease.isProven(1000));
-  const fromStore = scene({ delegates: () => null });
+  const fromStore = createFixture({ delegates: () => null });
   fromStore.store.items.set(KEY, { ...ITEM, leaseId: 0 });
   assert.ok(await fromStore.renewal.renew());
   assert.equal(fromStore.offered[0]?.revision.number, 9);
   assert.ok(fromStore.lease.isProven(1000));
 });
 
-test('the moment of the proof is that before the question, however late the answer', async () => {
-  const { renewal, lease, clock } = scene({
+test('the time of the proof is that before the request, however late the answer', async () => {
+  const { renewal, lease, clock } = createFixture({
     ask: () => {
       clock.now += 240;
       return proofOf(7, 0);
@@ -151,11 +157,12 @@
 });
 
 /**
- * A daemon that the store turned away was without a proof for a part of the time, and refused what it could have served: 3 of 8 runs of
- * `tenants.test.ts` beside load ended with "the configuration may be out of date". Under a bound of 1.5 s a proof that was up to 1 s old at
- * the daemon asked lay another 1.4 s until the next.
+ * A daemon whose reads from the store failed had no valid proof part of the time and refused requests that it
+ * could have served: 3 of 8 runs of `tenants.test.ts` under load ended with "the configuration may be out of
+ * date". Under a bound of 1.5 s, a proof that was already up to 1 s old at the other daemon had to last
+ * another 1.4 s until the next renewal.
  */
-test('renewals come so often that a proof of another daemon lasts until the next, whatever the bound', async () => {
+test('for any bound, a proof of another daemon lasts until the next renewal', async () => {
   for (const [boundMs, renewalMs] of [
     [1500, 300],
     [5000, 1000],
@@ -164,10 +171,10 @@
     const pauses: number[] = [];
     const lease = new ConfigurationLease(boundMs);
     lease.adopt(7, revisionAt(7), 1000);
-    const { renewal } = scene({
+    const { renewal } = createFixture({
       lease,
       delegates: () => null,
-      rest: (ms) => {
+      sleep: (ms) => {
         pauses.push(ms);
         renewal.stop();
         return Promise.resolve();
@@ -179,14 +186,15 @@
 });
 
 /**
- * A daemon that starts while the store holds the older configuration of the copy that it came back from took that for the newest, and
- * served a key that had been taken away. Evidence: in store-era.test.ts the daemon that starts serves the key, on the code before.
+ * A daemon that started while the store still held the older configuration of the copy that it was restored
+ * from took that configuration for the newest, and served a revoked key. Without the check, store-era.test.ts
+ * sees that daemon serve the key.
  */
-describe('the word of a store that may have come back from a copy', () => {
+describe('the answer of a store that may have been restored from a copy', () => {
   test('is not relied on while another daemon knows of a later version', async () => {
-    const { renewal, lease, asked } = scene({
+    const { renewal, lease, asked } = createFixture({
       delegates: () => null,
-      registered: () => [NEAR, FAR],
+      registered: () => [SAME_ZONE, OTHER_ZONE],
       ask: ({ name }) => Promise.resolve({ version: name === 'far' ? 8 : 7, proof: null, item: null }),
     });
     assert.equal(await renewal.renew(), true, 'the store has answered');
@@ -197,10 +205,10 @@
     assert.equal(lease.isProven(1000), true);
   });
 
-  test('is relied on once others have answered, or none has for a while; and again in each era', async () => {
-    const { renewal, lease, store, clock, asked } = scene({
+  test('is relied on once others have answered or the check has timed out, in each era anew', async () => {
+    const { renewal, lease, store, clock, asked } = createFixture({
       delegates: () => null,
-      registered: () => [NEAR],
+      registered: () => [SAME_ZONE],
       daemons: () => [],
     });
     assert.equal(await renewal.renew(), false);
@@ -216,8 +224,8 @@
     assert.equal(asked.length, 3);
   });
 
-  test('proves nothing by an item that is older than the one in force', async () => {
-    const { renewal, lease, store } = scene({ delegates: () => null, offer: () => undefined });
+  test('is no proof when its item is older than the active configuration', async () => {
+    const { renewal, lease, store } = createFixture({ delegates: () => null, offer: () => undefined });
     store.items.set(KEY, { key: KEY, value: Buffer.from('older'), revision: revisionAt(5), leaseId: 0 });
     assert.equal(await renewal.renew(), false);
     assert.equal(lease.isProven(1000), false);
--- a/src/tenancy/lease-renewal.ts
+++ b/src/tenancy/lease-renewal.ts
@@ -1,9 +1,11 @@
 /**
- * Renews the lease on the configuration: from the store, or from a daemon that has it from there.
+ * Renews the configuration lease, from the store or from a daemon that has a proof from the store.
  *
- * In a large fleet one daemon of each zone asks the store, and the others ask these, so that the store's calls do not grow with
- * the number of daemons: 0.04 a second and daemon at 83 in three zones, where the limit for this is 0.05. Whoever the store turns
- * away asks other daemons; whoever reaches no daemon asks the store, and so does a delegate that finds no proof.
+ * In a large fleet one delegate in each zone reads from the store and the other daemons ask the delegates, so
+ * that the load on the store does not grow with the number of daemons: 0.04 calls per second and daemon with
+ * 83 daemons in three zones, where the limit for these calls is 0.05. A daemon whose reads from the store
+ * fail asks other daemons. A daemon that reaches no other daemon reads from the store, and so does a delegate
+ * that finds no proof elsewhere.
  *
  * @packageDocumentation
  */
@@ -14,41 +16,47 @@
 import type { AgedProof, ConfigurationLease } from './configuration-lease.js';
 
 /**
- * Longest time between renewals, in milliseconds, and the part of the bound that it may take. A proof is at most two of them and two
- * answers old when it is renewed at a daemon that has it from another, so one of 5 s bears 2 s in which nobody answers; a daemon
- * that the store turns away loses the wait for that, too, and under a short bound would be without a proof each time.
+ * Longest renewal interval, in milliseconds, and the largest share of the bound that it may take. A proof
+ * that a daemon gets from another daemon is at most two intervals and two round trips old when it is renewed,
+ * so a lease of 5 s survives 2 s in which nothing answers. A daemon whose read from the store fails also
+ * loses the time-out of that read; with a short bound and a longer interval, its lease would expire before
+ * each renewal.
  */
-const RENEWAL_MS = 1000;
-const RENEWAL_SHARE = 0.2;
-/** Pause after a renewal that failed, in milliseconds: doubled from the first to the time between renewals. */
-const FIRST_PAUSE_MS = 125;
-/** Longest waits for the store and for another daemon, in milliseconds. */
-const STORE_MS = 400;
-const DAEMON_MS = 250;
+const MAX_RENEWAL_INTERVAL_MS = 1000;
+const RENEWAL_INTERVAL_SHARE = 0.2;
 /**
- * Age up to which a proof of another daemon is as good as one of the store, in times between renewals: it has asked since the last
- * but one. An older one is kept, but others are asked for a younger one: its daemon may be cut off itself.
+ * Base of the delay after failed renewals, in milliseconds: doubled with each failure in a row, up to the
+ * renewal interval.
  */
-const FRESH_RENEWALS = 1.5;
-/** Daemons that are asked before a renewal has failed. */
-const MAX_ASKED = 6;
+const RETRY_DELAY_BASE_MS = 125;
+/** Time-outs of a read from the store and of a request to another daemon, in milliseconds. */
+const STORE_TIMEOUT_MS = 400;
+const DAEMON_TIMEOUT_MS = 250;
+/**
+ * Age up to which a proof from another daemon ends the renewal, in renewal intervals: it comes from one of
+ * the last two renewals of that daemon. An older proof is recorded too, but further daemons are asked for a
+ * younger one, because the daemon that sent it may itself be cut off.
+ */
+const MAX_PROOF_AGE_INTERVALS = 1.5;
+/** Most daemons asked in one renewal. */
+const MAX_DAEMONS_ASKED = 6;
 
 /**
- * Time for which the other daemons are asked before the store's word in an era that is new here is relied on though none of them
- * answers, in milliseconds: what the operator wrote is back in the store about then.
+ * Time after which the store is trusted in a new era although no other daemon answers, in milliseconds: by
+ * then the newest configuration has usually been written back to the store.
  */
-const CHECK_MS = 2000;
+const ERA_CHECK_TIMEOUT_MS = 2000;
 
-/** What another daemon hands on. */
+/** Reply of another daemon to a request for its proof and configuration. */
 export interface PassedConfiguration {
-  /** Version of the configuration that it has in force; 0 for none. */
+  /** Version of its active configuration; 0 for none. */
   readonly version: number;
   readonly proof: AgedProof | null;
-  /** The configuration, where it is newer than the one that the asking daemon holds. */
+  /** The configuration, if it is newer than the one that the requesting daemon holds. */
   readonly item: StoredItem | null;
 }
 
-/** What the renewal needs. */
+/** Settings and dependencies of {@link LeaseRenewal}. */
 export interface LeaseRenewalOptions {
   readonly lease: ConfigurationLease;
   readonly store: Pick<CoordinationStore, 'readIfChanged' | 'era'>;
@@ -56,67 +64,71 @@
   readonly configurationKey: string;
   readonly ownName: string;
   readonly zone: string;
-  /** The daemons that ask the store for all, of each zone the first one; `null` when everybody does. */
+  /**
+   * The delegates, of which the first one in each zone reads from the store; `null` when every daemon does.
+   */
   delegates(): readonly DaemonRecord[] | null;
-  /** Daemons that take part in the work. */
+  /** Live daemons. */
   daemons(): readonly DaemonRecord[];
-  /** Daemons that run or may run, as far as the store has them. */
+  /** Live daemons, and daemons with a record in the store that may be running. */
   registered(): readonly DaemonRecord[];
-  /** Asks another daemon; `null` when it does not answer in time. */
+  /** Requests the proof and configuration of another daemon; `null` when it does not answer in time. */
   ask(record: DaemonRecord, heldVersion: number, timeoutMs: number): Promise<PassedConfiguration | null>;
-  /** A configuration that is newer than the one held. */
+  /** Takes a configuration that is newer than the held one. */
   offer(item: StoredItem): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
-  /** A number from 0 up to 1. */
+  /** Uniform random number in [0, 1). */
   random(): number;
-  /** Waits, in milliseconds. */
-  rest?(ms: number): Promise<void>;
+  /** Replaces the timer in tests. */
+  sleep?(ms: number): Promise<void>;
 }
 
-/** `prover`: asks the store for others; `standby`: does so when nobody has a proof; `follower`: when nobody answers. */
+/**
+ * `prover`: reads from the store first. `standby`: reads from the store when no other daemon has a fresh
+ * proof. `follower`: reads from the store when no other daemon answers.
+ */
 type Role = 'prover' | 'standby' | 'follower';
 
-/** Keeps the lease of one daemon. */
+/** Renews the configuration lease of one daemon. */
 export class LeaseRenewal {
   #isStopped = false;
-  #failures = 0;
+  #consecutiveFailures = 0;
   #wasProven = true;
-  /** Era of the store in which its word is relied on, and since when that of a later one is checked. */
-  #checkedEra: number | null = null;
-  #checkingSinceMs: number | null = null;
+  /** Era in which the store is trusted, and when the check of the present, later era began. */
+  #verifiedEra: number | null = null;
+  #eraCheckStartedMs: number | null = null;
 
   constructor(private readonly options: LeaseRenewalOptions) {}
 
-  /** Renews until {@link LeaseRenewal.stop}; returns at once where no lease is needed. */
+  /** Renews until {@link LeaseRenewal.stop}; returns at once when no lease is required. */
   async run(): Promise<void> {
-    const { rest = delay } = this.options;
-    while (this.options.lease.isNeeded && !this.#isStopped) {
+    const { sleep = delay } = this.options;
+    while (this.options.lease.requiresProof && !this.#isStopped) {
       const isRenewed = await this.renew();
-      this.#failures = isRenewed ? 0 : this.#failures + 1;
-      this.#noteProof();
-      await rest(this.#pauseMs());
+      this.#consecutiveFailures = isRenewed ? 0 : this.#consecutiveFailures + 1;
+      this.#logProofChange();
+      await sleep(this.#nextDelayMs());
     }
   }
 
-  /** Stops renewing. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** One renewal; false when nobody had a proof. */
+  /** Attempts one renewal; false when no fresh proof was found. */
   async renew(): Promise<boolean> {
     const delegates = this.options.delegates();
     const role = this.#roleAmong(delegates);
-    if (role === 'prover' && (await this.#askStore())) return true;
-    let hasAnswered = false;
-    for (const record of this.#inOrder(delegates ?? this.options.daemons())) {
-      const answer = await this.#askDaemon(record);
+    if (role === 'prover' && (await this.#renewFromStore())) return true;
+    let hasDaemonAnswered = false;
+    for (const record of this.#orderOtherDaemons(delegates ?? this.options.daemons())) {
+      const answer = await this.#renewFromDaemon(record);
       if (answer === 'renewed') return true;
-      if (answer === 'no_proof') hasAnswered = true;
+      if (answer === 'no_proof') hasDaemonAnswered = true;
     }
-    const isStoreLeft = role === 'standby' || (role === 'follower' && !hasAnswered);
-    return isStoreLeft && (await this.#askStore());
+    const shouldAskStore = role === 'standby' || (role === 'follower' && !hasDaemonAnswered);
+    return shouldAskStore && (await this.#renewFromStore());
   }
 
   #roleAmong(delegates: readonly DaemonRecord[] | null): Role {
@@ -128,16 +140,16 @@
     return rank === 0 ? 'prover' : 'standby';
   }
 
-  async #askStore(): Promise<boolean> {
+  async #renewFromStore(): Promise<boolean> {
     const { lease, store, configurationKey, now } = this.options;
-    if (!(await this.#isStoreRelied())) return false;
+    if (!(await this.#verifyStoreEra())) return false;
     const askedAtMs = now();
     const { heldVersion, heldRevision } = lease;
     try {
-      const answer = await store.readIfChanged(configurationKey, heldRevision, STORE_MS);
+      const answer = await store.readIfChanged(configurationKey, heldRevision, STORE_TIMEOUT_MS);
       if (answer.kind === 'changed' && answer.item !== null) this.options.offer(answer.item);
-      if (store.era.current !== this.#checkedEra) return false;
-      const provenVersion = answer.kind === 'unchanged' ? heldVersion : this.#versionOf(answer.item);
+      if (store.era.current !== this.#verifiedEra) return false;
+      const provenVersion = answer.kind === 'unchanged' ? heldVersion : this.#heldVersionIfSame(answer.item);
       if (provenVersion === null) return false;
       lease.prove({ version: provenVersion, provenAtMs: askedAtMs });
       return true;
@@ -147,67 +159,79 @@
     }
   }
 
-  /** The version that an item of the store brings, or `null` where it is not in force: it cannot be read, or is an older one. */
-  #versionOf(item: StoredItem | null): number | null {
+  /**
+   * The held version if the stored item is the held one, else `null`: the item is gone, unreadable, or older.
+   */
+  #heldVersionIfSame(item: StoredItem | null): number | null {
     const { heldVersion, heldRevision } = this.options.lease;
     return item !== null && isSameRevision(item.revision, heldRevision) ? heldVersion : null;
   }
 
   /**
-   * A store that has come back from a copy may hold an older configuration until it is written again, and a daemon that has just
-   * started cannot tell. So in each era that is new here others are asked first which version they know of.
+   * True once the store is trusted in its present era. A store that was restored from a copy may return an
+   * older configuration until the newest one is written again, and a daemon that has just started cannot
+   * detect that. In each new era the versions of the other daemons are therefore collected first.
    */
-  async #isStoreRelied(): Promise<boolean> {
+  async #verifyStoreEra(): Promise<boolean> {
     const { store, lease, now } = this.options;
     const era = store.era.current;
-    if (era === this.#checkedEra) return true;
-    this.#checkingSinceMs ??= now();
-    const others = this.#inOrder(this.options.registered());
+    if (era === this.#verifiedEra) return true;
+    this.#eraCheckStartedMs ??= now();
+    const others = this.#orderOtherDaemons(this.options.registered());
     const answers = await Promise.all(
-      others.map((record) => this.options.ask(record, lease.heldVersion, DAEMON_MS)),
+      others.map((record) => this.options.ask(record, lease.heldVersion, DAEMON_TIMEOUT_MS)),
     );
-    const heard = answers.filter((answer) => answer !== null);
-    for (const { version } of heard) lease.hear(version, now());
-    const isChecked = others.length === 0 || heard.length > 0 || now() - this.#checkingSinceMs >= CHECK_MS;
-    if (!isChecked) return false;
-    this.#checkedEra = era;
-    this.#checkingSinceMs = null;
+    const replies = answers.filter((answer) => answer !== null);
+    for (const { version } of replies) lease.observeVersion(version, now());
+    const isVerified =
+      others.length === 0 || replies.length > 0 || now() - this.#eraCheckStartedMs >= ERA_CHECK_TIMEOUT_MS;
+    if (!isVerified) return false;
+    this.#verifiedEra = era;
+    this.#eraCheckStartedMs = null;
     return true;
   }
 
-  async #askDaemon(record: DaemonRecord): Promise<'renewed' | 'no_proof' | 'silent'> {
+  async #renewFromDaemon(record: DaemonRecord): Promise<'renewed' | 'no_proof' | 'silent'> {
     const { lease, ask, now } = this.options;
     const askedAtMs = now();
-    const answer = await ask(record, lease.heldVersion, DAEMON_MS);
+    const answer = await ask(record, lease.heldVersion, DAEMON_TIMEOUT_MS);
     if (answer === null) return 'silent';
     if (answer.item !== null) this.options.offer(answer.item);
     if (answer.proof === null) return 'no_proof';
     const { version, ageMs } = answer.proof;
     lease.prove({ version, provenAtMs: askedAtMs - ageMs });
-    return ageMs <= FRESH_RENEWALS * this.#renewalMs ? 'renewed' : 'no_proof';
+    return ageMs <= MAX_PROOF_AGE_INTERVALS * this.#renewalIntervalMs ? 'renewed' : 'no_proof';
   }
 
-  /** Other daemons that ask the store, those of the own zone first, each part in an order of chance. */
-  #inOrder(askers: readonly DaemonRecord[]): readonly DaemonRecord[] {
+  /** The other daemons that a renewal asks: those of the own zone first, in random order within each part. */
+  #orderOtherDaemons(daemons: readonly DaemonRecord[]): readonly DaemonRecord[] {
     const { ownName, zone, random } = this.options;
-    return askers
+    return daemons
       .filter(({ name }) => name !== ownName)
       .map((record) => ({ record, order: (record.zone === zone ? 0 : 1) + random() }))
       .sort((one, other) => one.order - other.order)
-      .slice(0, MAX_ASKED)
+      .slice(0, MAX_DAEMONS_ASKED)
       .map(({ record }) => record);
   }
 
-  get #renewalMs(): number {
-    return Math.min(RENEWAL_MS, RENEWAL_SHARE * (this.options.lease.boundMs ?? Number.POSITIVE_INFINITY));
+  get #renewalIntervalMs(): number {
+    return Math.min(
+      MAX_RENEWAL_INTERVAL_MS,
+      RENEWAL_INTERVAL_SHARE * (this.options.lease.boundMs ?? Number.POSITIVE_INFINITY),
+    );
   }
 
-  #pauseMs(): number {
-    const ceiling = Math.min(this.#renewalMs, FIRST_PAUSE_MS * 2 ** Math.min(this.#failures, 8));
-    return this.#failures === 0 ? this.#renewalMs : ceiling * (0.5 + this.options.random() / 2);
+  #nextDelayMs(): number {
+    const ceiling = Math.min(
+      this.#renewalIntervalMs,
+      RETRY_DELAY_BASE_MS * 2 ** Math.min(this.#consecutiveFailures, 8),
+    );
+    return this.#consecutiveFailures === 0
+      ? this.#renewalIntervalMs
+      : ceiling * (0.5 + this.options.random() / 2);
   }
 
-  #noteProof(): void {
+  #logProofChange(): void {
     const { lease, log, now } = this.options;
     const isProven = lease.isProven(now());
     if (isProven === this.#wasProven) return;
--- a/src/tenancy/tenancy.test.ts
+++ b/src/tenancy/tenancy.test.ts
@@ -1,5 +1,5 @@
 /**
- * Who may call: keys, tenants, and the lease under which a configuration is acted on.
+ * API keys, tenants, authorization, and the configuration lease.
  *
  * @packageDocumentation
  */
@@ -25,7 +25,7 @@
 ]);
 
 describe('keys', () => {
-  test('are held as digests; what cannot be a key has none', () => {
+  test('are stored as digests; an empty or oversized string has none', () => {
     assert.equal(digestKey('a1')?.includes('a1'), false);
     assert.equal(digestKey('a1'), digestKey('a1'));
     assert.notEqual(digestKey('a1'), digestKey('a2'));
@@ -33,36 +33,36 @@
     assert.equal(digestKey('x'.repeat(1024 * 1024)), null);
   });
 
-  test('a key of two tenants stays with the one listed first, and the dispute is known', () => {
+  test('a key listed by two tenants belongs to the first one, and the dispute is reported', () => {
     assert.equal(TENANTS.holderOf(digestKey('shared')), AMBER);
     assert.deepEqual(TENANTS.disputes, [{ holder: 'amber', claimant: 'birch' }]);
   });
 });
 
 describe('authorization', () => {
-  const keyed = { isPublic: false };
-  const open = { isPublic: true };
+  const keyedRoute = { isPublic: false };
+  const publicRoute = { isPublic: true };
 
-  test('asks for a key that a tenant holds, and for a proof', () => {
-    const granted = authorize({ tenants: TENANTS }, true, keyed, digestKey('b1'));
+  test('requires a key of a known tenant, and a valid proof', () => {
+    const granted = authorize({ tenants: TENANTS }, true, keyedRoute, digestKey('b1'));
     assert.deepEqual(granted, { kind: 'granted', caller: { tenantName: 'birch', account: BIRCH } });
-    assert.equal(authorize({ tenants: TENANTS }, true, keyed, digestKey('c1')).kind, 'unknown_key');
-    assert.equal(authorize({ tenants: TENANTS }, true, keyed, null).kind, 'unknown_key');
-    assert.equal(authorize({ tenants: TENANTS }, false, keyed, digestKey('b1')).kind, 'unproven');
-    assert.equal(authorize({ tenants: TENANTS }, false, keyed, digestKey('c1')).kind, 'unproven');
+    assert.equal(authorize({ tenants: TENANTS }, true, keyedRoute, digestKey('c1')).kind, 'unknown_key');
+    assert.equal(authorize({ tenants: TENANTS }, true, keyedRoute, null).kind, 'unknown_key');
+    assert.equal(authorize({ tenants: TENANTS }, false, keyedRoute, digestKey('b1')).kind, 'unproven');
+    assert.equal(authorize({ tenants: TENANTS }, false, keyedRoute, digestKey('c1')).kind, 'unproven');
   });
 
-  test('of a public route asks for neither, and charges nobody', () => {
-    const anybody = { kind: 'granted', caller: { tenantName: NO_TENANT, account: null } };
-    assert.deepEqual(authorize({ tenants: TENANTS }, true, open, null), anybody);
-    assert.deepEqual(authorize({ tenants: TENANTS }, false, open, digestKey('a1')), anybody);
-    const known = authorize({ tenants: TENANTS }, true, open, digestKey('a1'));
+  test('of a public route requires neither, and charges no tenant', () => {
+    const anonymous = { kind: 'granted', caller: { tenantName: NO_TENANT, account: null } };
+    assert.deepEqual(authorize({ tenants: TENANTS }, true, publicRoute, null), anonymous);
+    assert.deepEqual(authorize({ tenants: TENANTS }, false, publicRoute, digestKey('a1')), anonymous);
+    const known = authorize({ tenants: TENANTS }, true, publicRoute, digestKey('a1'));
     assert.deepEqual(known, { kind: 'granted', caller: { tenantName: 'amber', account: null } });
   });
 });
 
-describe('the lease on the configuration', () => {
-  test('holds for the bound from before the question, not from the answer', () => {
+describe('the configuration lease', () => {
+  test('runs from the time before the request, not from the reply', () => {
     const lease = new ConfigurationLease(5000);
     lease.adopt(7, revisionAt(7), 0);
     assert.equal(lease.isProven(0), false);
@@ -71,7 +71,7 @@
     assert.equal(lease.isProven(6000), false);
   });
 
-  test('is not renewed by a proof of a configuration that has not come', () => {
+  test('is not renewed by a proof of a configuration that has not been received', () => {
     const lease = new ConfigurationLease(5000);
     lease.adopt(7, revisionAt(7), 0);
     lease.prove({ version: 7, provenAtMs: 0 });
@@ -82,15 +82,16 @@
     assert.equal(lease.isProven(5000), true);
   });
 
-  test('is not needed where no bound is strict', () => {
+  test('is not required when the bound is not strict', () => {
     const lease = new ConfigurationLease(null);
     assert.equal(lease.isProven(1e9), true);
     assert.equal(lease.handOn(0), null);
   });
 
   /**
-   * A store in which a configuration is replaced at some moments, and daemons that prove theirs to each other: whatever
-   * answers are late, lost or handed on, none acts on a configuration that was replaced more than the bound ago.
+   * Models a store in which the configuration is replaced at random times, and daemons that exchange proofs.
+   * Replies may be delayed, lost or forwarded; no daemon may act on a configuration that was replaced longer
+   * ago than the bound.
    */
   test('never outlives a replacement by more than the bound, whatever is late, lost or handed on', () => {
     const BOUND_MS = 1000;
@@ -98,7 +99,7 @@
       kind: fc.constantFrom('replace', 'ask_store', 'ask_daemon', 'fetch', 'rest'),
       daemon: fc.nat(1),
       other: fc.nat(1),
-      /** Way of the question, way of the answer, pause before the answer is looked at. */
+      /** Delay of the request, delay of the reply, pause before the reply is processed. */
       delaysMs: fc.tuple(fc.nat(400), fc.nat(400), fc.nat(1500)),
       restMs: fc.nat(600),
     });
@@ -109,7 +110,7 @@
         const replacedAtMs = new Map<number, number>();
         const daemons = Array.from({ length: 2 }, () => new ConfigurationLease(BOUND_MS));
         const pending: { atMs: number; run: () => void }[] = [];
-        const at = (atMs: number, run: () => void): void => void pending.push({ atMs, run });
+        const schedule = (atMs: number, run: () => void): void => void pending.push({ atMs, run });
         const advance = (untilMs: number): void => {
           for (;;) {
             const due = pending.filter(({ atMs }) => atMs <= untilMs).sort((a, b) => a.atMs - b.atMs)[0];
@@ -129,7 +130,7 @@
         };
         for (const { kind, daemon, other, delaysMs, restMs } of steps) {
           const lease = daemons[daemon] ?? new ConfigurationLease(BOUND_MS);
-          const [there, back, pause] = delaysMs;
+          const [requestDelayMs, replyDelayMs, pauseMs] = delaysMs;
           const askedAtMs = nowMs;
           switch (kind) {
             case 'replace':
@@ -140,17 +141,21 @@
               lease.adopt(revision, revisionAt(revision), nowMs);
               break;
             case 'ask_store':
-              at(nowMs + there, () => {
+              schedule(nowMs + requestDelayMs, () => {
                 const newest = revision;
-                at(nowMs + back + pause, () => lease.prove({ version: newest, provenAtMs: askedAtMs }));
+                schedule(nowMs + replyDelayMs + pauseMs, () =>
+                  lease.prove({ version: newest, provenAtMs: askedAtMs }),
+                );
               });
               break;
             case 'ask_daemon':
-              at(nowMs + there, () => {
+              schedule(nowMs + requestDelayMs, () => {
                 const proof = daemons[other]?.handOn(nowMs) ?? null;
                 if (proof === null) return;
                 const provenAtMs = askedAtMs - proof.ageMs;
-                at(nowMs + back + pause, () => lease.prove({ version: proof.version, provenAtMs }));
+                schedule(nowMs + replyDelayMs + pauseMs, () =>
+                  lease.prove({ version: proof.version, provenAtMs }),
+                );
               });
               break;
             case 'rest':
