--- a/src/quota/quota-home.ts
+++ b/src/quota/quota-home.ts
@@ -1,10 +1,12 @@
 /**
- * Grants operations to other daemons, for the tenants whose home this daemon is.
+ * Grants operations to other daemons, for the tenants whose home is this daemon.
  *
- * Each tenant has one home, by rendezvous hashing over the daemons that live; its bucket is the tenant's quota, whole. A home
- * that has just come begins with an empty bucket, since the one before it may have granted all. While a home does not answer,
- * the next in line stands in for it: whole when the process of the home has certainly ended, else with a small share, since
- * the home may go on granting where it is reached.
+ * The home of a tenant is the one daemon that grants the tenant's operations. It is chosen by rendezvous
+ * hashing over the live daemons, and its token bucket holds the whole quota. A new home begins with an empty
+ * bucket, since its predecessor may have granted the whole quota. While the home does not answer, the daemon
+ * that ranks second, its backup, grants in its place: the whole quota when the home has retired or its
+ * process is known to have ended, otherwise a small share, since the home may still be granting to daemons
+ * that can reach it.
  *
  * @packageDocumentation
  */
@@ -12,145 +14,175 @@
 import type { Quota, Tenant } from '../tenancy/tenant-register.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Operations that a daemon asks for. */
+/** Request of a daemon for grants of one tenant. */
 export interface GrantRequest {
   readonly tenantName: string;
-  /** The tenant's quota as the asking daemon knows it, for a home that has not heard of the tenant yet. */
+  /**
+   * The tenant's quota as known to the requesting daemon, for a home whose configuration lacks the tenant.
+   */
   readonly quota: Quota;
-  /** Operations that it wants to run now or soon. */
+  /** Number of operations to be run now or soon. */
   readonly count: number;
-  /** True when the home did not answer, and this daemon is the next in line. */
+  /** True when the home did not answer, and the request goes to its backup. */
   readonly isForHome: boolean;
-  /** True when another daemon that took itself for no home passes it on: it is not passed on again. */
+  /** True when a daemon that is not the home has forwarded the request: it is not forwarded again. */
   readonly isPassedOn: boolean;
-  /** True when it comes from a home that is about to stop, and grants no more. */
+  /** True when the request comes from a home that is about to stop and no longer grants. */
   readonly hasHomeRetired: boolean;
 }
 
-/** What is granted. */
+/** Reply to a grant request. */
 export interface Grant {
   readonly count: number;
-  /** Time until the tenant has room again, in milliseconds; 0 while it has. */
+  /** Time until the tenant may run another operation, in milliseconds; 0 if it may at once. */
   readonly roomInMs: number;
 }
 
 /**
- * Share of a quota that is granted in place of a home that may still be granting. Together with what a grant may outlive its
- * second (see `GRANT_MS`) it stays within a tenth of the quota over five seconds, which limits are given as excess.
+ * Share of a quota that the backup grants while the home may still be granting. Together with grants that are
+ * used after the second they count for (see `GRANT_LIFETIME_MS`), the excess stays within the permitted tenth
+ * of the quota over five seconds.
  */
-const STAND_IN_SHARE = 0.05;
+const BACKUP_SHARE = 0.05;
 /**
- * What a home has for a tenant when its process starts, as a share of one second of its rate or of its burst, whichever is
- * less: when all daemons lose power, callers come back all at once, and buckets that begin empty refused 1,177 tries in the
- * first 3 s. With what grants may outlive their second it stays within the tenth of excess.
+ * Initial fill of a tenant's bucket after the start of the home's process, as a share of one second of its
+ * rate or of its burst, whichever is less. After a power loss of all daemons the callers return all at once,
+ * and initially empty buckets refused 1,177 attempts in the first 3 s. Together with grants that are used
+ * after the second they count for, the excess stays within the permitted tenth.
  */
-const START_SHARE = 0.4;
-/** Longest wait for a home to which a question is passed on, in milliseconds: less than whoever asked waits. */
-const PASS_ON_MS = 100;
-/** For how long it is remembered whether the process of a home has ended, in milliseconds: it may be started again. */
-const ENDED_KNOWN_MS = 300;
-/** Buckets that are kept; tenants come and go with the configuration. */
+const INITIAL_FILL_SHARE = 0.4;
+/** Time-out of a forwarded request, in milliseconds: shorter than the time-out of the daemon that sent it. */
+const FORWARD_TIMEOUT_MS = 100;
+/**
+ * How long the result of a check whether a home's process has ended is cached, in milliseconds: it may be
+ * started again.
+ */
+const PROCESS_ENDED_CACHE_MS = 300;
+/** Most buckets in memory; tenants are added and removed with the configuration. */
 const MAX_BUCKETS = 10_000;
 
-/** What the home needs. */
+/** Settings and dependencies of {@link QuotaHome}. */
 export interface QuotaHomeOptions {
   readonly ownName: string;
-  /** The daemons to ask for a tenant, the home first. */
-  inLine(tenantName: string): readonly DaemonRecord[];
-  /** A tenant of the configuration in force, or `null`. */
-  tenant(name: string): Tenant | null;
-  /** Since when the buckets of tenants that are new here fill, in monotonic milliseconds. */
-  sinceMs(): number;
-  /** Asks another daemon; `null` when it does not answer in time, or has nothing to say. */
-  ask(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null>;
-  /** True while no daemon has been seen to go since this process started. */
+  /** The home of a tenant, followed by its backup. */
+  homeAndBackup(tenantName: string): readonly DaemonRecord[];
+  /** The tenant of this name in the active configuration, or `null`. */
+  findTenant(name: string): Tenant | null;
+  /** Time from which new buckets refill, in monotonic milliseconds. */
+  bucketsStartMs(): number;
+  /** Requests a grant from another daemon; `null` when it does not answer in time or is not responsible. */
+  requestGrant(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null>;
+  /** True while no departure of a daemon has been observed since this process started. */
   hasJustStarted(): boolean;
-  /** True when the process of a daemon has certainly ended. */
-  isEnded(record: DaemonRecord): Promise<boolean>;
+  /** True when the process of a daemon is known to have ended. */
+  hasProcessEnded(record: DaemonRecord): Promise<boolean>;
   now(): number;
 }
 
-interface EndedHome {
-  readonly isEnded: Promise<boolean>;
-  readonly atMs: number;
+interface ProcessEndedCheck {
+  readonly hasEnded: Promise<boolean>;
+  readonly checkedAtMs: number;
 }
 
-/** The grants of one daemon. */
+/** Grants operations of tenants, as their home or as the backup of their home. */
 export class QuotaHome {
   readonly #buckets = new Map<string, TokenBucket>();
-  readonly #standInBuckets = new Map<string, TokenBucket>();
-  readonly #ended = new Map<string, EndedHome>();
+  readonly #backupBuckets = new Map<string, TokenBucket>();
+  readonly #processEndedChecks = new Map<string, ProcessEndedCheck>();
 
   constructor(private readonly options: QuotaHomeOptions) {}
 
-  /** Grants what the tenant has left; nothing where this daemon is not the one to ask. */
+  /**
+   * Grants what is left of the tenant's quota, or forwards the request to the home; `null` when neither is
+   * possible.
+   */
   async grant(request: GrantRequest): Promise<Grant | null> {
-    const { ownName, inLine, ask } = this.options;
-    const [home, next] = inLine(request.tenantName);
+    const { ownName, homeAndBackup, requestGrant } = this.options;
+    const [home, backup] = homeAndBackup(request.tenantName);
     if (home === undefined) return null;
     if (home.name === ownName) return this.#grantAsHome(request);
     if (!request.isForHome) {
-      // Daemons hear of one another at different times: this one may know better who the home is.
-      return request.isPassedOn ? null : ask(home, { ...request, isPassedOn: true }, PASS_ON_MS);
+      // Daemons learn of each other at different times: this one may know the present home.
+      return request.isPassedOn
+        ? null
+        : requestGrant(home, { ...request, isPassedOn: true }, FORWARD_TIMEOUT_MS);
     }
-    if (next?.name !== ownName) return null;
-    // Before it is heard of everywhere that a home retires, a share alone would refuse what the tenant may have.
-    const isEnded = request.hasHomeRetired || (await this.#isEnded(home));
-    return this.#grantFor(home, isEnded ? 1 : STAND_IN_SHARE, request);
+    if (backup?.name !== ownName) return null;
+    // Until all daemons know that a home has retired, the backup share would refuse permitted operations.
+    const hasHomeStoppedGranting = request.hasHomeRetired || (await this.#hasProcessEnded(home));
+    return this.#grantAsBackup(home, hasHomeStoppedGranting ? 1 : BACKUP_SHARE, request);
   }
 
-  /** The daemons have changed: another home may grant what a bucket here would go on filling up with. */
+  /**
+   * Updates the state after a change of the live daemons. Drops the buckets of tenants that have another home
+   * now: that home grants the quota, while a bucket kept here would go on refilling.
+   */
   daemonsChanged(): void {
-    const { inLine, ownName } = this.options;
+    const { homeAndBackup, ownName } = this.options;
     for (const tenantName of [...this.#buckets.keys()])
-      if (inLine(tenantName)[0]?.name !== ownName) this.#buckets.delete(tenantName);
-    this.#standInBuckets.clear();
-    this.#ended.clear();
+      if (homeAndBackup(tenantName)[0]?.name !== ownName) this.#buckets.delete(tenantName);
+    this.#backupBuckets.clear();
+    this.#processEndedChecks.clear();
   }
 
   #grantAsHome(request: GrantRequest): Grant {
     const { tenantName, count } = request;
     const quota = this.#quotaOf(request);
     if (quota === null) return { count, roomInMs: 0 };
-    const { now, sinceMs, hasJustStarted } = this.options;
-    const tokens = hasJustStarted() ? START_SHARE * Math.min(quota.ratePerS, quota.burst) : 0;
-    const bucket = bucketOf(this.#buckets, tenantName, sinceMs(), tokens);
+    const { now, bucketsStartMs, hasJustStarted } = this.options;
+    const tokens = hasJustStarted() ? INITIAL_FILL_SHARE * Math.min(quota.ratePerS, quota.burst) : 0;
+    const bucket = getOrCreateBucket(this.#buckets, tenantName, bucketsStartMs(), tokens);
     return bucket.take(count, quota, now());
   }
 
-  /** Grants a share of the quota in place of a home: of nothing at first, since the home may have granted all. */
-  #grantFor(home: DaemonRecord, share: number, request: GrantRequest): Grant {
+  /**
+   * Grants a share of the quota in place of the home. The bucket begins empty, since the home may have
+   * granted the whole quota.
+   */
+  #grantAsBackup(home: DaemonRecord, share: number, request: GrantRequest): Grant {
     const { tenantName, count } = request;
     const quota = this.#quotaOf(request);
     if (quota === null) return { count, roomInMs: 0 };
     const nowMs = this.options.now();
-    const bucket = bucketOf(this.#standInBuckets, `${share} ${home.name} ${home.life} ${tenantName}`, nowMs);
+    const bucket = getOrCreateBucket(
+      this.#backupBuckets,
+      `${share} ${home.name} ${home.life} ${tenantName}`,
+      nowMs,
+    );
     return bucket.take(count, { ratePerS: quota.ratePerS * share, burst: quota.burst * share }, nowMs);
   }
 
-  /** By the configuration in force here, where it has the tenant; `null` when nothing limits it. */
+  /**
+   * The quota in the active configuration, or that of the request for an unknown tenant; `null` when
+   * unlimited.
+   */
   #quotaOf({ tenantName, quota }: GrantRequest): Quota | null {
-    const tenant = this.options.tenant(tenantName);
+    const tenant = this.options.findTenant(tenantName);
     return tenant === null ? quota : tenant.quota;
   }
 
-  #isEnded(home: DaemonRecord): Promise<boolean> {
+  #hasProcessEnded(home: DaemonRecord): Promise<boolean> {
     const key = `${home.name} ${home.life}`;
-    const known = this.#ended.get(key);
+    const cached = this.#processEndedChecks.get(key);
     const nowMs = this.options.now();
-    if (known !== undefined && nowMs - known.atMs < ENDED_KNOWN_MS) return known.isEnded;
-    const isEnded = this.options.isEnded(home);
-    this.#ended.set(key, { isEnded, atMs: nowMs });
-    return isEnded;
+    if (cached !== undefined && nowMs - cached.checkedAtMs < PROCESS_ENDED_CACHE_MS) return cached.hasEnded;
+    const hasEnded = this.options.hasProcessEnded(home);
+    this.#processEndedChecks.set(key, { hasEnded, checkedAtMs: nowMs });
+    return hasEnded;
   }
 }
 
-/** The bucket of a key; a new one has filled since `sinceMs`, when it held some tokens. */
-function bucketOf(buckets: Map<string, TokenBucket>, key: string, sinceMs: number, tokens = 0): TokenBucket {
+/** The bucket of a key. A new one held `tokens` at `filledAtMs` and has refilled since. */
+function getOrCreateBucket(
+  buckets: Map<string, TokenBucket>,
+  key: string,
+  filledAtMs: number,
+  tokens = 0,
+): TokenBucket {
   let bucket = buckets.get(key);
   if (bucket !== undefined) return bucket;
   if (buckets.size >= MAX_BUCKETS) buckets.clear();
-  bucket = new TokenBucket(sinceMs, tokens);
+  bucket = new TokenBucket(filledAtMs, tokens);
   buckets.set(key, bucket);
   return bucket;
 }
--- a/src/quota/quota-service.ts
+++ b/src/quota/quota-service.ts
@@ -1,5 +1,6 @@
 /**
- * The quotas of one daemon: what it asks of the tenants' homes, and what it grants as one.
+ * The quotas of one daemon: requests grants from the home daemons of tenants, and grants operations as a
+ * home.
  *
  * @packageDocumentation
  */
@@ -9,86 +10,102 @@
 import { GrantedQuotas, type Charge, type OperationQuotas } from './operation-quotas.js';
 import { QuotaHome, type Grant, type GrantRequest } from './quota-home.js';
 
-/** The home of a tenant, and the daemon that stands in for it. */
-const DAEMONS_IN_LINE = 2;
+/** The home of a tenant and its backup. */
+const HOME_AND_BACKUP_COUNT = 2;
 
-/** What the service needs. */
+/** Settings and dependencies of {@link QuotaService}. */
 export interface QuotaServiceOptions {
   readonly ownName: string;
-  /** Daemons that take part in the work. */
+  /** Live daemons. */
   daemons(): readonly DaemonRecord[];
-  /** A tenant of the configuration in force, or `null`. */
+  /** The tenant of this name in the active configuration, or `null`. */
   tenant(name: string): Tenant | null;
-  /** Asks another daemon; `null` when it does not answer in time, or has nothing to say. */
+  /** Requests a grant from another daemon; `null` when it does not answer in time or is not responsible. */
   ask(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null>;
-  /** True when the process of a daemon has certainly ended. */
+  /** True when the process of a daemon is known to have ended. */
   isEnded(record: DaemonRecord): Promise<boolean>;
   now(): number;
-  /** A number from 0 up to 1. */
+  /** Uniform random number in [0, 1). */
   random(): number;
 }
 
-/** Wires the parts, and keeps who is asked for whom. */
+/** Wires the parts together, and caches the home and the backup of each tenant. */
 export class QuotaService implements OperationQuotas {
-  readonly #inLine = new Map<string, readonly DaemonRecord[]>();
+  readonly #homeAndBackupByTenant = new Map<string, readonly DaemonRecord[]>();
   readonly #home: QuotaHome;
   readonly #quotas: GrantedQuotas;
-  #lives: ReadonlySet<string> = new Set();
-  #hasSeenOneGo = false;
+  #incarnations: ReadonlySet<string> = new Set();
+  #hasSeenDeparture = false;
   #isRetired = false;
-  /** When a daemon was last seen to go: it may have been a home until then, and have granted all. */
-  #leftAtMs: number;
+  /**
+   * Time of the last observed departure of a daemon, which may have been a home and have granted the whole
+   * quota until then.
+   */
+  #lastDepartureMs: number;
 
   constructor(private readonly options: QuotaServiceOptions) {
-    const { ownName, tenant, isEnded, now, random } = options;
-    const ask = this.#ask.bind(this);
-    this.#leftAtMs = now();
-    const inLine = (tenantName: string): readonly DaemonRecord[] => this.#lineOf(tenantName);
-    const sinceMs = (): number => this.#leftAtMs;
-    const hasJustStarted = (): boolean => !this.#hasSeenOneGo;
-    this.#home = new QuotaHome({ ownName, inLine, tenant, sinceMs, hasJustStarted, ask, isEnded, now });
-    this.#quotas = new GrantedQuotas({ ownName, home: this.#home, inLine, ask, now, random });
+    const { ownName, tenant: findTenant, isEnded: hasProcessEnded, now, random } = options;
+    const requestGrant = this.#requestGrant.bind(this);
+    this.#lastDepartureMs = now();
+    const homeAndBackup = (tenantName: string): readonly DaemonRecord[] => this.#homeAndBackupOf(tenantName);
+    const bucketsStartMs = (): number => this.#lastDepartureMs;
+    const hasJustStarted = (): boolean => !this.#hasSeenDeparture;
+    this.#home = new QuotaHome({
+      ownName,
+      homeAndBackup,
+      findTenant,
+      bucketsStartMs,
+      hasJustStarted,
+      requestGrant,
+      hasProcessEnded,
+      now,
+    });
+    this.#quotas = new GrantedQuotas({ ownName, home: this.#home, homeAndBackup, requestGrant, now, random });
   }
 
   charge(tenant: Tenant): Charge | Promise<Charge> {
     return this.#quotas.charge(tenant);
   }
 
-  /** Grants operations to another daemon; `null` when this daemon is not the one to ask. */
+  /** Grants operations to another daemon; `null` when this daemon is not responsible for the tenant. */
   grant(request: GrantRequest): Promise<Grant | null> {
     return this.#home.grant(request);
   }
 
   /**
-   * This daemon is about to stop: it is no home any more, and passes on what those ask who take it for one. Others may already do
-   * without it, and two homes would grant the quota twice.
+   * Retires this daemon, which is about to stop: it no longer acts as a home, and forwards the requests of
+   * daemons that still regard it as one. Other daemons may already have chosen a new home, and two homes
+   * would grant the quota twice.
    */
   retire(): void {
     this.#isRetired = true;
     this.daemonsChanged();
   }
 
-  /** Who has retired asks the next in line to grant in its place, whether that one has heard of it or not. */
-  #ask(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null> {
-    const asked = this.#isRetired ? { ...request, isForHome: true, hasHomeRetired: true } : request;
-    return this.options.ask(record, asked, timeoutMs);
+  /**
+   * Requests a grant from another daemon. A retired daemon asks its successor to grant in place of a retired
+   * home, because the successor may not know of the retirement yet.
+   */
+  #requestGrant(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null> {
+    const marked = this.#isRetired ? { ...request, isForHome: true, hasHomeRetired: true } : request;
+    return this.options.ask(record, marked, timeoutMs);
   }
 
-  /** The daemons have changed. */
+  /** Updates the state after a change of the live daemons. */
   daemonsChanged(): void {
-    this.#inLine.clear();
-    const lives = new Set(this.options.daemons().map(({ name, life }) => `${name} ${life}`));
-    for (const life of this.#lives) if (!lives.has(life)) this.#oneHasGone();
-    this.#lives = lives;
+    this.#homeAndBackupByTenant.clear();
+    const incarnations = new Set(this.options.daemons().map(({ name, life }) => `${name} ${life}`));
+    for (const incarnation of this.#incarnations) if (!incarnations.has(incarnation)) this.#recordDeparture();
+    this.#incarnations = incarnations;
     this.#home.daemonsChanged();
   }
 
-  #oneHasGone(): void {
-    this.#leftAtMs = this.options.now();
-    this.#hasSeenOneGo = true;
+  #recordDeparture(): void {
+    this.#lastDepartureMs = this.options.now();
+    this.#hasSeenDeparture = true;
   }
 
-  /** The daemons that may be homes; the last one is, though it is about to stop. */
+  /** Daemons that may be a home. A retired daemon leaves itself out, unless it is the only one. */
   #candidates(): readonly DaemonRecord[] {
     const daemons = this.options.daemons();
     if (!this.#isRetired) return daemons;
@@ -96,12 +113,12 @@
     return others.length > 0 ? others : daemons;
   }
 
-  #lineOf(tenantName: string): readonly DaemonRecord[] {
-    let line = this.#inLine.get(tenantName);
-    if (line === undefined) {
-      line = preferredDaemons(tenantName, this.#candidates(), DAEMONS_IN_LINE);
-      this.#inLine.set(tenantName, line);
+  #homeAndBackupOf(tenantName: string): readonly DaemonRecord[] {
+    let preferred = this.#homeAndBackupByTenant.get(tenantName);
+    if (preferred === undefined) {
+      preferred = preferredDaemons(tenantName, this.#candidates(), HOME_AND_BACKUP_COUNT);
+      this.#homeAndBackupByTenant.set(tenantName, preferred);
     }
-    return line;
+    return preferred;
   }
 }
--- a/src/quota/quota.test.ts
+++ b/src/quota/quota.test.ts
@@ -1,5 +1,6 @@
 /**
- * Quotas of a fleet: what is granted stays under the limit in every window, whatever becomes of the homes.
+ * Quotas of a fleet: the operations in any time window stay within the limit while homes fail, retire or
+ * move.
  *
  * @packageDocumentation
  */
@@ -21,12 +22,12 @@
 const QUOTA = { ratePerS: 40, burst: 40 };
 const TENANT: Tenant = { name: 'amber', priority: 0, quota: QUOTA };
 
-/** Most operations in any window: the quota, a tenth above it, and some. */
+/** Most operations permitted in any window: the quota plus a tenth, and a margin of 20 operations. */
 function allowed({ ratePerS, burst }: { ratePerS: number; burst: number }): number {
   return ((ratePerS * WINDOW_MS) / 1000 + burst) * 1.1 + 20;
 }
 
-/** Most of the times that lie within one window, wherever it begins. */
+/** Largest number of the given times that lie within one window, for any start of the window. */
 function mostInWindow(times: readonly number[]): number {
   const sorted = [...times].sort((one, other) => one - other);
   let most = 0;
@@ -39,7 +40,7 @@
 }
 
 describe('a token bucket', () => {
-  test('gives its burst, then its rate, and says when there is more', () => {
+  test('grants its burst, then its rate, and reports when the next token is available', () => {
     const bucket = new TokenBucket(0);
     const quota = { ratePerS: 10, burst: 5 };
     assert.deepEqual(bucket.take(3, quota, 10_000), { count: 3, roomInMs: 0 });
@@ -48,14 +49,14 @@
     assert.deepEqual(bucket.take(1, quota, 10_100), { count: 1, roomInMs: 100 });
   });
 
-  test('follows a limit that is lowered at once, and never fills at rate 0', () => {
+  test('applies a lowered limit at once, and never refills at rate 0', () => {
     const bucket = new TokenBucket(0);
     assert.equal(bucket.take(1, { ratePerS: 100, burst: 100 }, 10_000).count, 1);
     assert.equal(bucket.take(100, { ratePerS: 2, burst: 3 }, 10_000).count, 3);
     assert.equal(bucket.take(100, { ratePerS: 0, burst: 3 }, 90_000).count, 0);
   });
 
-  test('whoever comes with a clock that is behind takes no more for it', () => {
+  test('grants nothing extra when the clock goes back', () => {
     const bucket = new TokenBucket(0);
     const quota = { ratePerS: 10, burst: 10 };
     assert.equal(bucket.take(10, quota, 10_000).count, 10);
@@ -69,7 +70,7 @@
   return () => uniformFloat64(generator);
 }
 
-/** Sends `perS` operations a second to daemons of chance, for a time. */
+/** Sends `perS` operations per second to randomly chosen daemons, for `forMs` milliseconds. */
 async function load(
   fleet: ModelledFleet,
   daemons: readonly DaemonRecord[],
@@ -88,7 +89,7 @@
 describe('the quota of a fleet', () => {
   const records = fleetOf(83);
 
-  test('what a tenant may have is not refused, though its callers are spread over all daemons', async () => {
+  test('operations within the quota are not refused when callers use all daemons', async () => {
     const random = generatorOf(1);
     const fleet = new ModelledFleet(records, TENANT, () => 1 + random() * 2, random);
     await fleet.advance(WINDOW_MS);
@@ -98,7 +99,7 @@
     assert.equal(fleet.runs.length, 300);
   });
 
-  test('a tenant that sends seven times its usual has what it may have, and no more', async () => {
+  test('a tenant that sends at seven times its usual rate gets its quota, and no more', async () => {
     const random = generatorOf(2);
     const fleet = new ModelledFleet(records, TENANT, () => 1 + random() * 2, random);
     await fleet.advance(WINDOW_MS);
@@ -109,7 +110,7 @@
     assert.ok(fleet.runs.length >= 0.9 * (quota.ratePerS * 10 + quota.burst), `${fleet.runs.length} run`);
   });
 
-  test('stays within the limit when all daemons lose power, however often, and callers come back all at once', async () => {
+  test('stays within the limit after repeated power losses of all daemons, with all callers back at once', async () => {
     const random = generatorOf(3);
     const fleet = new ModelledFleet(records, TENANT, () => 1 + random() * 2, random);
     await fleet.advance(WINDOW_MS);
@@ -130,12 +131,13 @@
   });
 
   /**
-   * A tenant ran 337 to 411 operations in a window of at most 284. The store was silent for seconds while the daemons were restarted one
-   * after the other. For 3 s after it is back vanished leases mean nothing, so a daemon that goes on takes one that is about to
-   * stop for the home still; one that has just started sees the leases alone, and takes itself for it. Both granted the whole quota.
-   * Evidence: 40 operations a second by the callers of either for 2.7 s (soak, mixed, seed 410).
+   * A tenant ran 337 to 411 operations in a window that permits at most 284. The store did not answer for
+   * seconds while the daemons were restarted one after the other. For 3 s after the store is back, vanished
+   * leases are ignored, so a running daemon still regards a daemon that is about to stop as the home, while a
+   * newly started one sees only the leases and regards itself as the home. Both granted the whole quota: the
+   * callers of each ran 40 operations per second for 2.7 s (soak profile mixed, seed 410).
    */
-  test('stays within the limit while a home that is about to stop counts for some daemons, and for others not', async () => {
+  test('stays within the limit while only some daemons regard a retiring daemon as the home', async () => {
     const random = generatorOf(410);
     const records = fleetOf(3);
     const fleet = new ModelledFleet(records, TENANT, () => 1, random);
@@ -154,14 +156,15 @@
     );
     await load(fleet, others, 200, 2700, random);
     assert.ok(mostInWindow(fleet.runs) <= allowed(QUOTA), `${mostInWindow(fleet.runs)} in a window`);
-    assert.ok(mostInWindow(fleet.runs) > 100, 'it is not refused for want of a home');
+    assert.ok(mostInWindow(fleet.runs) > 100, 'operations are not refused for lack of a home');
   });
 
   /**
-   * While machines were stopped in series, tenants were refused what they may have: 1,092 tries instead of 570 on a day. A home that
-   * retired sent everybody to the next in line, which had not heard of it yet and granted a twentieth in its place.
+   * While machines were stopped one after the other, tenants were refused operations within their quota:
+   * 1,092 attempts instead of 570 in a day. A retired home forwarded all requests to its backup, which did
+   * not know of the retirement yet and granted only the backup share, a twentieth of the quota.
    */
-  test('is granted whole by the next in line before the others hear that its home retires', async () => {
+  test('is granted in full by the backup before the other daemons know that the home retires', async () => {
     const random = generatorOf(7);
     const records = fleetOf(30);
     const fleet = new ModelledFleet(records, TENANT, () => 1, random);
@@ -211,12 +214,13 @@
       assert.ok(most <= allowed(quota), `seed ${seed}: ${most} in a window, ${allowed(quota)} allowed`);
       total += fleet.runs.length;
     }
-    // A home that is cut for good, and that nobody takes for gone, leaves a twentieth: the least is far below the mean.
+    // A home that is cut off for good but still counted as live leaves only the backup share, a twentieth, so
+    // the minimum is far below the mean.
     assert.ok(total > 6 * 200, `only ${total} run`);
   });
 });
 
-/** True when a daemon is asked for the tenant, by those who know just these. */
+/** True when a daemon is the home of the tenant, for a daemon that knows of exactly these live daemons. */
 function isHome(record: DaemonRecord, living: readonly DaemonRecord[]): boolean {
   const asked: string[] = [];
   const service = new QuotaService({
@@ -235,7 +239,7 @@
   return asked[0] === record.name;
 }
 
-test('a home that was no home for a while begins with nothing: another has granted meanwhile', async () => {
+test('a home that was no home for a while begins with an empty bucket: another has granted', async () => {
   let nowMs = 0;
   const [self, other] = [daemonRecord('self'), daemonRecord('other')];
   let views: readonly DaemonRecord[] = [self];
@@ -278,28 +282,28 @@
     ask: (record: DaemonRecord, request: GrantRequest) => Promise<Grant | null>,
     clock: { now: number },
   ): GrantedQuotas {
-    const inLine = (): readonly DaemonRecord[] => [home, next];
+    const homeAndBackup = (): readonly DaemonRecord[] => [home, next];
     const own = new QuotaHome({
       ownName: 'self',
-      inLine,
-      tenant: () => TENANT,
-      sinceMs: () => 0,
+      homeAndBackup,
+      findTenant: () => TENANT,
+      bucketsStartMs: () => 0,
       hasJustStarted: () => false,
-      ask: () => Promise.resolve(null),
-      isEnded: () => Promise.resolve(false),
+      requestGrant: () => Promise.resolve(null),
+      hasProcessEnded: () => Promise.resolve(false),
       now: () => clock.now,
     });
     return new GrantedQuotas({
       ownName: 'self',
       home: own,
-      inLine,
-      ask,
+      homeAndBackup,
+      requestGrant: ask,
       now: () => clock.now,
       random: () => 0,
     });
   }
 
-  test('those who wait are asked for together, and an operation that was not run gives its grant back', async () => {
+  test('waiting operations share a request, and an operation that does not run returns its grant', async () => {
     const clock = { now: 0 };
     const counts: number[] = [];
     const quotas = quotasWith((_record, { count }) => {
@@ -311,11 +315,11 @@
     const [first] = charges;
     if (first?.kind === 'charged') first.refund();
     const again = quotas.charge(TENANT);
-    assert.ok(!(again instanceof Promise), 'taken from what was given back');
+    assert.ok(!(again instanceof Promise), 'the returned grant is used');
     assert.deepEqual(counts, [1, 2]);
   });
 
-  test('a grant that is not used soon is not used at all', async () => {
+  test('a grant that is not used soon expires', async () => {
     const clock = { now: 0 };
     let asked = 0;
     const quotas = quotasWith((_record, { count }) => {
@@ -329,7 +333,7 @@
     assert.equal(asked, 2);
   });
 
-  test('where there is no room nobody asks until there may be some, and callers are told when', async () => {
+  test('over quota, no grants are requested until the next token, and callers are told when', async () => {
     const clock = { now: 0 };
     let asked = 0;
     const quotas = quotasWith(() => {
@@ -347,7 +351,7 @@
     assert.equal(asked, 2);
   });
 
-  test('a home that does not answer is stood in for by the next in line', async () => {
+  test('the backup is asked when the home does not answer', async () => {
     const asked: string[] = [];
     const quotas = quotasWith(
       (record, { isForHome, count }) => {
@@ -361,19 +365,19 @@
   });
 });
 
-test('a daemon that is no home passes the question on to the one that it takes for it, once', async () => {
-  const passed: GrantRequest[] = [];
+test('a daemon that is not the home forwards the request to the home, once', async () => {
+  const forwarded: GrantRequest[] = [];
   const home = new QuotaHome({
     ownName: 'old',
-    inLine: () => [daemonRecord('new')],
-    tenant: () => TENANT,
-    sinceMs: () => 0,
+    homeAndBackup: () => [daemonRecord('new')],
+    findTenant: () => TENANT,
+    bucketsStartMs: () => 0,
     hasJustStarted: () => false,
-    ask: (_record, request) => {
-      passed.push(request);
+    requestGrant: (_record, request) => {
+      forwarded.push(request);
       return Promise.resolve({ count: request.count, roomInMs: 0 });
     },
-    isEnded: () => Promise.resolve(false),
+    hasProcessEnded: () => Promise.resolve(false),
     now: () => 0,
   });
   const quota = { ratePerS: 1, burst: 1 };
@@ -387,18 +391,18 @@
   };
   assert.deepEqual(await home.grant(request), { count: 2, roomInMs: 0 });
   assert.equal(await home.grant({ ...request, isPassedOn: true }), null);
-  assert.deepEqual(passed, [{ ...request, isPassedOn: true }]);
+  assert.deepEqual(forwarded, [{ ...request, isPassedOn: true }]);
 });
 
-test('a home that has not heard of a tenant goes by what the asking daemon knows', async () => {
+test('a home that does not know a tenant uses the quota of the request', async () => {
   const home = new QuotaHome({
     ownName: 'home',
-    inLine: () => [daemonRecord('home')],
-    tenant: () => null,
-    sinceMs: () => 0,
+    homeAndBackup: () => [daemonRecord('home')],
+    findTenant: () => null,
+    bucketsStartMs: () => 0,
     hasJustStarted: () => false,
-    ask: () => Promise.resolve(null),
-    isEnded: () => Promise.resolve(false),
+    requestGrant: () => Promise.resolve(null),
+    hasProcessEnded: () => Promise.resolve(false),
     now: () => 10_000,
   });
   const quota = { ratePerS: 2, burst: 3 };
--- a/src/quota/token-bucket.ts
+++ b/src/quota/token-bucket.ts
@@ -1,46 +1,48 @@
 /**
- * A token bucket: so many tokens a second, and at most so many at once. Pure.
+ * A token bucket with a refill rate and a burst size. Pure.
  *
  * @packageDocumentation
  */
 import type { Quota } from '../tenancy/tenant-register.js';
 
-/** What was taken, and when there is more. */
-export interface Taken {
+/** Result of {@link TokenBucket.take}. */
+export interface TakeResult {
   readonly count: number;
-  /** Time until there is a token, in milliseconds; 0 while there is one. */
+  /** Time until the next token is available, in milliseconds; 0 while there is one. */
   readonly roomInMs: number;
 }
 
-/** Advice where a bucket never fills, in milliseconds. */
-const NEVER_MS = 60_000;
+/**
+ * Retry delay for a bucket with rate 0, which never refills, and upper limit of all others, in milliseconds.
+ */
+const NO_REFILL_RETRY_MS = 60_000;
 
-/** One bucket; its size may change at any time. */
+/** A token bucket whose rate and burst may differ at each call. */
 export class TokenBucket {
   #tokens: number;
 
   /**
-   * @param sinceMs - since when it has filled, in monotonic milliseconds
-   * @param tokens - what it held then
+   * @param filledAtMs - time up to which the bucket has been refilled, in monotonic milliseconds
+   * @param tokens - tokens that it holds at that time
    */
   constructor(
-    private sinceMs: number,
+    private filledAtMs: number,
     tokens = 0,
   ) {
     this.#tokens = tokens;
   }
 
-  /** Takes up to `wanted` tokens. */
-  take(wanted: number, { ratePerS, burst }: Quota, nowMs: number): Taken {
-    // Below one token at once, nothing could ever be taken.
-    const size = Math.max(1, burst);
-    const grown = (ratePerS * Math.max(0, nowMs - this.sinceMs)) / 1000;
-    this.#tokens = Math.min(size, this.#tokens + grown);
-    this.sinceMs = Math.max(this.sinceMs, nowMs);
-    const count = Math.max(0, Math.min(wanted, Math.floor(this.#tokens)));
+  /** Takes up to `requested` tokens. */
+  take(requested: number, { ratePerS, burst }: Quota, nowMs: number): TakeResult {
+    // With a capacity below one token, no token could ever be taken.
+    const capacity = Math.max(1, burst);
+    const refill = (ratePerS * Math.max(0, nowMs - this.filledAtMs)) / 1000;
+    this.#tokens = Math.min(capacity, this.#tokens + refill);
+    this.filledAtMs = Math.max(this.filledAtMs, nowMs);
+    const count = Math.max(0, Math.min(requested, Math.floor(this.#tokens)));
     this.#tokens -= count;
     const isEmpty = this.#tokens < 1;
-    const fillMs = ratePerS > 0 ? ((1 - this.#tokens) * 1000) / ratePerS : NEVER_MS;
-    return { count, roomInMs: isEmpty ? Math.min(NEVER_MS, Math.ceil(fillMs)) : 0 };
+    const nextTokenMs = ratePerS > 0 ? ((1 - this.#tokens) * 1000) / ratePerS : NO_REFILL_RETRY_MS;
+    return { count, roomInMs: isEmpty ? Math.min(NO_REFILL_RETRY_MS, Math.ceil(nextTokenMs)) : 0 };
   }
 }
