--- a/src/common/rendezvous.ts
+++ b/src/common/rendezvous.ts
@@ -6,36 +6,37 @@
 import { sha1 } from '@noble/hashes/legacy.js';
 
 const MAX_CACHED_HASHES = 100_000;
-const hashes = new Map<string, number>();
-const RANGE = 2 ** 32;
+const hashCache = new Map<string, number>();
+const WEIGHT_RANGE = 2 ** 32;
 
-/** Weight of a candidate for a key, from 0 to 2^32 - 1: the same everywhere. */
+/** Weight of a candidate for a key, from 0 to 2^32 - 1: the same in every process. */
 export function rendezvousWeight(key: string, candidate: string): number {
   return mix(hashOf(key) ^ hashOf(candidate));
 }
 
 /**
- * Score of a candidate that is to be chosen in proportion to its capacity (Schindelhauer and Schomaker, 2005).
+ * Score of a candidate for a key. The candidate with the highest score is chosen; over many keys each
+ * candidate is chosen in proportion to its capacity (Schindelhauer and Schomaker, 2005).
  *
  * @param capacity - above 0
  */
 export function weightedRendezvousScore(key: string, candidate: string, capacity: number): number {
-  const uniform = (rendezvousWeight(key, candidate) + 0.5) / RANGE;
+  const uniform = (rendezvousWeight(key, candidate) + 0.5) / WEIGHT_RANGE;
   return capacity / -Math.log(uniform);
 }
 
-/** First 32 bits of a hash of the text; cached, since names are few and asked for often. */
+/** First 32 bits of the SHA-1 of the text; cached, since there are few names and each is hashed often. */
 function hashOf(text: string): number {
-  const known = hashes.get(text);
-  if (known !== undefined) return known;
-  if (hashes.size >= MAX_CACHED_HASHES) hashes.clear();
-  // Not from `node:crypto`: loading that takes a seventh of a daemon's start.
+  const cached = hashCache.get(text);
+  if (cached !== undefined) return cached;
+  if (hashCache.size >= MAX_CACHED_HASHES) hashCache.clear();
+  // `node:crypto` is avoided: loading it takes a seventh of the start-up time of a daemon.
   const hash = Buffer.from(sha1(Buffer.from(text))).readInt32BE(0);
-  hashes.set(text, hash);
+  hashCache.set(text, hash);
   return hash;
 }
 
-/** Finaliser of MurmurHash3 (Appleby), which spreads every input bit over the output. */
+/** Finaliser of MurmurHash3 (Appleby): every input bit affects all output bits. */
 function mix(value: number): number {
   let mixed = value;
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/src/common/shared-question.ts
+++ b/src/common/shared-question.ts
@@ -1,38 +1,39 @@
 /**
- * A question that many ask at once and that is put once for all of them.
+ * Coalesces concurrent calls of an asynchronous operation.
  *
- * An answer is only good for those who asked before the question was put. So whoever comes while it is under way
- * shares the next one: however many ask, one question is under way and one waits.
+ * A result may be used only by callers that called before the operation began. Callers that arrive while a
+ * run is in progress therefore share the next run: for any number of callers, at most one run is in progress
+ * and one is queued.
  *
  * @packageDocumentation
  */
 
-/** Puts one question on behalf of everybody who asks it. */
-export class SharedQuestion<Answer> {
-  #current: Promise<Answer> | null = null;
-  #next: Promise<Answer> | null = null;
+/** Runs one operation on behalf of all concurrent callers. */
+export class SharedQuestion<Result> {
+  #current: Promise<Result> | null = null;
+  #next: Promise<Result> | null = null;
 
-  /** @param put - puts the question */
-  constructor(private readonly put: () => Promise<Answer>) {}
+  /** @param run - starts the operation */
+  constructor(private readonly run: () => Promise<Result>) {}
 
-  /** The answer to a question that is put after this call. */
-  ask(): Promise<Answer> {
-    if (this.#current === null) return this.#begin();
-    this.#next ??= this.#after(this.#current);
+  /** The result of a run that begins after this call. */
+  ask(): Promise<Result> {
+    if (this.#current === null) return this.#start();
+    this.#next ??= this.#startAfter(this.#current);
     return this.#next;
   }
 
-  async #after(current: Promise<Answer>): Promise<Answer> {
+  async #startAfter(current: Promise<Result>): Promise<Result> {
     await current.catch(() => undefined);
     this.#next = null;
-    return this.#begin();
+    return this.#start();
   }
 
-  #begin(): Promise<Answer> {
-    const asking = this.put().finally(() => {
-      if (this.#current === asking) this.#current = null;
+  #start(): Promise<Result> {
+    const running = this.run().finally(() => {
+      if (this.#current === running) this.#current = null;
     });
-    this.#current = asking;
-    return asking;
+    this.#current = running;
+    return running;
   }
 }
--- a/src/common/shuffle.ts
+++ b/src/common/shuffle.ts
@@ -1,10 +1,10 @@
 /**
- * Random order.
+ * Random permutation.
  *
  * @packageDocumentation
  */
 
-/** A copy in random order (Fisher and Yates); `random` gives numbers in 0..1. */
+/** A copy in random order (Fisher and Yates); `random` returns uniform numbers in [0, 1). */
 export function shuffle<Item>(items: readonly Item[], random: () => number): Item[] {
   const shuffled = [...items];
   for (let i = shuffled.length - 1; i > 0; i -= 1) {
--- a/src/common/signal.ts
+++ b/src/common/signal.ts
@@ -1,10 +1,10 @@
 /**
- * Wakes everyone who waits for a change of state.
+ * Timed waits: for a change of state, and for a delay.
  *
  * @packageDocumentation
  */
 
-/** A change that any number of waiters can wait for, each with a time limit. */
+/** Wakes any number of waiters at a change of state; each wait has a time-out. */
 export class ChangeSignal {
   readonly #waiters = new Set<() => void>();
 
@@ -29,7 +29,7 @@
   }
 }
 
-/** Resolves after a time, in milliseconds. */
+/** Resolves after `ms` milliseconds. */
 export function delay(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, Math.max(0, ms)));
 }
--- a/src/position/position.ts
+++ b/src/position/position.ts
@@ -1,11 +1,11 @@
 /**
- * Log positions of a database group.
+ * Positions in the replicated log of a database group.
  *
  * @packageDocumentation
  */
 
 /**
- * A place in the replicated log of one database group.
+ * A position in the replicated log of one database group.
  *
  * @public
  */
@@ -29,12 +29,12 @@
   return comparePositions(left, right) >= 0 ? left : right;
 }
 
-/** A position as the logs have it. */
+/** Text form of a position, as used in log lines. */
 export function formatPosition({ term, index }: Position): string {
   return `${term}.${index}`;
 }
 
-/** True when a member that has reached `reached` holds everything up to `required`. */
+/** True when a member at position `reached` has all log entries up to `required`. */
 export function hasReached(reached: Position, required: Position): boolean {
   return comparePositions(reached, required) >= 0;
 }
--- a/src/retry/backoff.ts
+++ b/src/retry/backoff.ts
@@ -1,5 +1,5 @@
 /**
- * Delays between attempts: exponential with full jitter. Pure: the random source is passed in.
+ * Delays between attempts: exponential backoff with jitter. Pure: the random number is passed in.
  *
  * @packageDocumentation
  */
@@ -11,10 +11,10 @@
 }
 
 /**
- * Delay before an attempt, in milliseconds.
+ * Delay before a retry, in milliseconds: between half of the exponential delay and all of it.
  *
  * @param attempt - 0 for the first retry
- * @param random - a number in 0..1
+ * @param random - uniform random number in [0, 1)
  */
 export function backoffDelayMs(options: BackoffOptions, attempt: number, random: number): number {
   const ceiling = Math.min(options.maxDelayMs, options.initialDelayMs * 2 ** Math.min(attempt, 20));
--- a/src/retry/retry-budget.ts
+++ b/src/retry/retry-budget.ts
@@ -1,34 +1,33 @@
 /**
- * Limits retries to a share of the requests, so that they cannot multiply a load that already fails. Pure.
+ * Limits retries to a share of the requests, so that they cannot multiply the load on a failing system. Pure.
  *
  * @packageDocumentation
  */
 
 /** Settings of a retry budget. */
 export interface RetryBudgetOptions {
-  /** Retries earned by each request; 0.1 allows one retry for ten requests. */
+  /** Retries added by each request; 0.1 allows one retry for ten requests. */
   readonly retriesPerRequest: number;
-  /** Most retries that can be saved up. */
+  /** Maximum balance of unused retries. */
   readonly maxSaved: number;
 }
 
 /** A token bucket that is filled by requests and emptied by retries. @public */
 export class RetryBudget {
-  #saved: number;
+  #balance: number;
 
   constructor(private readonly options: RetryBudgetOptions) {
-    this.#saved = options.maxSaved;
+    this.#balance = options.maxSaved;
   }
 
-  /** Records a request. */
   recordRequest(): void {
-    this.#saved = Math.min(this.options.maxSaved, this.#saved + this.options.retriesPerRequest);
+    this.#balance = Math.min(this.options.maxSaved, this.#balance + this.options.retriesPerRequest);
   }
 
-  /** Takes a retry out of the budget; false when there is none left. */
+  /** Takes one retry from the budget; false when none is left. */
   tryRetry(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#balance < 1) return false;
+    this.#balance -= 1;
     return true;
   }
 }
