--- a/src/tenancy/tenant-register.ts
+++ b/src/tenancy/tenant-register.ts
@@ -83,5 +83,5 @@
   }
 }
 
-/** The register of a configuration without tenants. */
+/** The registry of a configuration without tenants. */
 export const NO_TENANTS = new TenantRegister([]);
