--- a/src/pool/admission-queue.ts
+++ b/src/pool/admission-queue.ts
@@ -1,32 +1,32 @@
 /**
- * Orders the requests that wait for a slot of a member: priority first, then arrival. Pure: the caller passes
- * the time.
+ * Queue of requests that wait for an execution slot of a member, ordered by priority and then by arrival.
+ * Pure: the caller passes the time.
  *
  * @packageDocumentation
  */
 
 /** A waiting request. */
 export interface Waiter {
-  /** 0 (last) to 9 (first). */
+  /** Priority from 0 (lowest) to 9 (highest). */
   readonly priority: number;
-  /** Monotonic time after which an answer is of no use, in milliseconds. */
+  /** Monotonic deadline of the request, in milliseconds. */
   readonly deadlineMs: number;
 }
 
-/** Outcome of an offer to the queue. */
+/** Result of offering a request to the queue. */
 export type Admission<Item extends Waiter> =
   | { readonly kind: 'queued' }
-  /** The queue is full and the offer ranks below all that wait. */
+  /** The queue is full and no waiting request has a lower priority. */
   | { readonly kind: 'refused' }
-  /** The offer took the place of a waiter of lower priority, which is given up. */
+  /** The request was queued in place of `item`, a request of lower priority that was removed. */
   | { readonly kind: 'displaced'; readonly item: Item };
 
-/** A bounded queue with priorities and deadlines. @public */
+/** Bounded queue with priorities and deadlines. @public */
 export class AdmissionQueue<Item extends Waiter> {
-  readonly #byPriority = new Map<number, Item[]>();
+  readonly #waitersByPriority = new Map<number, Item[]>();
   #size = 0;
 
-  /** @param maxLength - most requests that wait at once */
+  /** @param maxLength - maximum number of waiting requests */
   constructor(private readonly maxLength: number) {}
 
   /** Number of waiting requests. */
@@ -34,7 +34,10 @@
     return this.#size;
   }
 
-  /** Offers a request; a full queue gives up its lowest and youngest if the offer ranks above it. */
+  /**
+   * Offers a request. A full queue removes the newest request of its lowest priority if that is lower than
+   * the priority of the new request.
+   */
   offer(item: Item): Admission<Item> {
     if (this.#size < this.maxLength) {
       this.#add(item);
@@ -42,17 +45,17 @@
     }
     const lowest = this.#lowestPriority();
     if (lowest === null || lowest >= item.priority) return { kind: 'refused' };
-    const displaced = this.#byPriority.get(lowest)?.pop();
+    const displaced = this.#waitersByPriority.get(lowest)?.pop();
     if (displaced === undefined) return { kind: 'refused' };
     this.#size -= 1;
     this.#add(item);
     return { kind: 'displaced', item: displaced };
   }
 
-  /** Takes the first request in order, or `null`. */
+  /** Removes and returns the first request in order, or `null` if the queue is empty. */
   take(): Item | null {
     for (const priority of this.#priorities()) {
-      const item = this.#byPriority.get(priority)?.shift();
+      const item = this.#waitersByPriority.get(priority)?.shift();
       if (item === undefined) continue;
       this.#size -= 1;
       return item;
@@ -60,9 +63,9 @@
     return null;
   }
 
-  /** Removes one request; false when it does not wait. */
+  /** Removes a request; returns false when it is not in the queue. */
   remove(item: Item): boolean {
-    const list = this.#byPriority.get(item.priority);
+    const list = this.#waitersByPriority.get(item.priority);
     const position = list?.indexOf(item) ?? -1;
     if (list === undefined || position < 0) return false;
     list.splice(position, 1);
@@ -70,37 +73,37 @@
     return true;
   }
 
-  /** Removes and returns the requests whose deadline has passed. */
+  /** Removes and returns all requests whose deadline has passed. */
   takeExpired(nowMs: number): Item[] {
     const expired: Item[] = [];
-    for (const list of this.#byPriority.values()) {
+    for (const list of this.#waitersByPriority.values()) {
       for (const item of list) if (item.deadlineMs <= nowMs) expired.push(item);
     }
     for (const item of expired) this.remove(item);
     return expired;
   }
 
-  /** Requests that stand before an arrival of this priority. */
+  /** Returns the number of requests ahead of a new request of this priority. */
   lengthAhead(priority: number): number {
     let ahead = 0;
-    for (const [other, list] of this.#byPriority) if (other >= priority) ahead += list.length;
+    for (const [other, list] of this.#waitersByPriority) if (other >= priority) ahead += list.length;
     return ahead;
   }
 
   #add(item: Item): void {
-    const list = this.#byPriority.get(item.priority) ?? [];
+    const list = this.#waitersByPriority.get(item.priority) ?? [];
     list.push(item);
-    this.#byPriority.set(item.priority, list);
+    this.#waitersByPriority.set(item.priority, list);
     this.#size += 1;
   }
 
   #priorities(): number[] {
-    return [...this.#byPriority.keys()].sort((left, right) => right - left);
+    return [...this.#waitersByPriority.keys()].sort((left, right) => right - left);
   }
 
   #lowestPriority(): number | null {
     const occupied = this.#priorities().filter(
-      (priority) => (this.#byPriority.get(priority)?.length ?? 0) > 0,
+      (priority) => (this.#waitersByPriority.get(priority)?.length ?? 0) > 0,
     );
     return occupied.at(-1) ?? null;
   }
--- a/src/pool/member-pool.ts
+++ b/src/pool/member-pool.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to one member, shared by all callers within the member's limits.
+ * Connection pool of one member, shared by all clients within the member's limits.
  *
  * @packageDocumentation
  */
@@ -14,31 +14,35 @@
 /** Settings of a pool. */
 export interface MemberPoolOptions {
   readonly connection: MemberConnectionOptions;
-  /** Most connections open at once. */
+  /** Maximum number of open connections. */
   readonly maxConnections: number;
-  /** Most requests that execute at once. */
+  /**
+   * Maximum number of concurrently executing requests; further statements of transactions are not limited.
+   */
   readonly slots: number;
-  /** Most requests that wait. */
+  /** Maximum number of waiting requests. */
   readonly maxQueueLength: number;
-  /** True while the owner's lock on the member is held. */
+  /**
+   * True while this daemon, as the owner, holds its lock on the member; no connection is opened otherwise.
+   */
   readonly mayOpen: () => boolean;
 }
 
-/** Why a request got no connection; it was not run. */
+/** Reason why a request was given no connection; the request has not run. */
 export type AcquireRefusal =
   'queue_full' | 'wait_too_long' | 'deadline_passed' | 'cannot_connect' | 'closed' | 'canceled';
 
-/** Outcome of asking for a connection. */
+/** Result of acquiring a connection. */
 export type AcquireOutcome =
   | { readonly kind: 'connection'; readonly connection: MemberConnection }
   | { readonly kind: 'refused'; readonly reason: AcquireRefusal; readonly retryAfterMs: number };
 
-/** What a request needs of the pool. */
+/** Parameters of acquiring a connection. */
 export interface AcquireRequest {
   readonly priority: number;
-  /** Monotonic time after which an answer is of no use, in milliseconds. */
+  /** Monotonic deadline of the request, in milliseconds. */
   readonly deadlineMs: number;
-  /** Given when the caller gives up. */
+  /** Canceled when the caller stops waiting. */
   readonly signal: CancelSignal;
 }
 
@@ -47,104 +51,108 @@
 }
 
 const INITIAL_SERVICE_TIME_MS = 5;
-const SERVICE_TIME_WEIGHT = 0.05;
+const SERVICE_TIME_SMOOTHING_FACTOR = 0.05;
 const EXPIRY_CHECK_INTERVAL_MS = 20;
 const MIN_RETRY_AFTER_MS = 20;
 
-/** A pool for one member. */
+/** Connection pool of one member. */
 export class MemberPool {
   readonly #idle: MemberConnection[] = [];
   readonly #open = new Set<MemberConnection>();
   readonly #startedAtMs = new Map<MemberConnection, number>();
   readonly #queue: AdmissionQueue<PoolWaiter>;
-  #opening = 0;
-  #executing = 0;
+  #openingCount = 0;
+  #executingCount = 0;
   #meanServiceTimeMs = INITIAL_SERVICE_TIME_MS;
-  #closed = false;
+  #isClosed = false;
   readonly #expiryTimer: NodeJS.Timeout;
 
   constructor(private readonly options: MemberPoolOptions) {
     this.#queue = new AdmissionQueue(options.maxQueueLength);
-    this.#expiryTimer = setInterval(() => this.#expire(), EXPIRY_CHECK_INTERVAL_MS);
+    this.#expiryTimer = setInterval(() => this.#refuseExpired(), EXPIRY_CHECK_INTERVAL_MS);
     this.#expiryTimer.unref();
   }
 
-  /** Requests executing and waiting. */
+  /** Number of executing and waiting requests. */
   get load(): number {
-    return this.#executing + this.#queue.size;
+    return this.#executingCount + this.#queue.size;
   }
 
-  /** Connections open or being opened. */
+  /** Number of connections that are open or being opened. */
   get connectionCount(): number {
-    return this.#open.size + this.#opening;
+    return this.#open.size + this.#openingCount;
   }
 
-  /** Requests waiting. */
+  /** Number of waiting requests. */
   get queueLength(): number {
     return this.#queue.size;
   }
 
-  /** Waits for a connection and a slot; refuses at once when the wait would be of no use. */
+  /**
+   * Waits for a connection and an execution slot; refuses at once when the expected wait exceeds the
+   * deadline.
+   */
   acquire(request: AcquireRequest): Promise<AcquireOutcome> {
     return new Promise((resolve) => {
-      if (this.#closed) return resolve(this.#refusal('closed'));
+      if (this.#isClosed) return resolve(this.#refusalOutcome('closed'));
       if (performance.now() + this.#expectedWaitMs(request.priority) > request.deadlineMs) {
-        return resolve(this.#refusal('wait_too_long'));
+        return resolve(this.#refusalOutcome('wait_too_long'));
       }
       this.#enqueue(request, resolve);
-      this.#pump();
+      this.#dispatch();
     });
   }
 
-  /** Gives a connection back, free of any caller's state. */
+  /** Returns a connection to the pool; the caller must have discarded its session state. */
   release(connection: MemberConnection): void {
     this.#endExecution(connection);
-    if (connection.isClosed || this.#closed) this.#discard(connection);
+    if (connection.isClosed || this.#isClosed) this.#discard(connection);
     else this.#idle.push(connection);
-    this.#pump();
+    this.#dispatch();
   }
 
-  /** Keeps the connection for its transaction, but frees the slot. */
+  /** Frees the execution slot while the connection stays reserved for its transaction. */
   endExecution(connection: MemberConnection): void {
     this.#endExecution(connection);
-    this.#pump();
+    this.#dispatch();
   }
 
-  /** Counts a further statement of a transaction, which waits for no slot. */
+  /** Counts the next statement of a transaction as executing; it does not wait for a slot. */
   beginExecution(connection: MemberConnection): void {
-    this.#executing += 1;
+    this.#executingCount += 1;
     this.#startedAtMs.set(connection, performance.now());
   }
 
-  /** Ends a connection that must not be used again. */
+  /** Closes a connection that must not be reused. */
   destroy(connection: MemberConnection): void {
     this.#endExecution(connection);
     this.#discard(connection);
-    this.#pump();
+    this.#dispatch();
   }
 
   /**
-   * Ends all connections, since the member does not answer or its lock is gone: what runs on them is lost now
-   * instead of at its deadline, what waits chooses again, and they do not stand in the way of another owner's.
+   * Closes all connections after the member stopped responding or its lock was lost. Running requests fail
+   * now instead of at their deadlines, waiting requests repeat the member selection, and the connections no
+   * longer count against the connection limit that another owner needs.
    */
   reset(): void {
     for (let waiter = this.#queue.take(); waiter !== null; waiter = this.#queue.take()) {
-      waiter.finish(this.#refusal('closed'));
+      waiter.finish(this.#refusalOutcome('closed'));
     }
     for (const connection of [...this.#open]) this.#discard(connection);
     this.#idle.length = 0;
   }
 
-  /** Ends all connections and refuses all that wait. */
+  /** Closes all connections and refuses all waiting requests. */
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     clearInterval(this.#expiryTimer);
     this.reset();
   }
 
   #enqueue(request: AcquireRequest, resolve: (outcome: AcquireOutcome) => void): void {
     const onCancel = (): void => {
-      if (this.#queue.remove(waiter)) waiter.finish(this.#refusal('canceled'));
+      if (this.#queue.remove(waiter)) waiter.finish(this.#refusalOutcome('canceled'));
     };
     const finish = (outcome: AcquireOutcome): void => {
       request.signal.setListener(null);
@@ -153,15 +161,15 @@
     const waiter: PoolWaiter = { priority: request.priority, deadlineMs: request.deadlineMs, finish };
     request.signal.setListener(onCancel);
     const admission = this.#queue.offer(waiter);
-    if (admission.kind === 'refused') finish(this.#refusal('queue_full'));
-    if (admission.kind === 'displaced') admission.item.finish(this.#refusal('queue_full'));
+    if (admission.kind === 'refused') finish(this.#refusalOutcome('queue_full'));
+    if (admission.kind === 'displaced') admission.item.finish(this.#refusalOutcome('queue_full'));
   }
 
-  #pump(): void {
-    while (!this.#closed && this.#queue.size > 0 && this.#executing < this.options.slots) {
+  #dispatch(): void {
+    while (!this.#isClosed && this.#queue.size > 0 && this.#executingCount < this.options.slots) {
       const connection = this.#takeIdle();
       if (connection === null) {
-        this.#openMore();
+        this.#openForWaiters();
         return;
       }
       const waiter = this.#queue.take();
@@ -182,11 +190,11 @@
     }
   }
 
-  /** Opens as many connections as there are waiters that could use one. */
-  #openMore(): void {
-    const usable = Math.min(this.#queue.size, this.options.slots - this.#executing);
+  /** Opens as many connections as there are waiting requests that a free slot could serve. */
+  #openForWaiters(): void {
+    const usable = Math.min(this.#queue.size, this.options.slots - this.#executingCount);
     while (
-      this.#opening < usable &&
+      this.#openingCount < usable &&
       this.connectionCount < this.options.maxConnections &&
       this.options.mayOpen()
     ) {
@@ -195,43 +203,43 @@
   }
 
   async #openOne(): Promise<void> {
-    this.#opening += 1;
+    this.#openingCount += 1;
     try {
       const connection = await MemberConnection.open(this.options.connection);
-      this.#opening -= 1;
-      this.#adopt(connection);
+      this.#openingCount -= 1;
+      this.#addConnection(connection);
     } catch (error) {
-      this.#opening -= 1;
+      this.#openingCount -= 1;
       this.#handleConnectFailure(error);
     }
   }
 
-  #adopt(connection: MemberConnection): void {
-    if (this.#closed || !this.options.mayOpen()) {
+  #addConnection(connection: MemberConnection): void {
+    if (this.#isClosed || !this.options.mayOpen()) {
       connection.close();
       return;
     }
     this.#open.add(connection);
     connection.onClosed = () => this.#open.delete(connection);
     this.#idle.push(connection);
-    this.#pump();
+    this.#dispatch();
   }
 
-  /** One waiter is told; the others may still be served by connections that are open. */
+  /** Refuses only one waiting request, because open connections may still serve the others. */
   #handleConnectFailure(error: unknown): void {
     const isLimit = error instanceof MemberConnectionError && error.sqlState === '53300';
     if (this.#open.size > 0 && isLimit) return;
-    this.#queue.take()?.finish(this.#refusal('cannot_connect'));
-    this.#pump();
+    this.#queue.take()?.finish(this.#refusalOutcome('cannot_connect'));
+    this.#dispatch();
   }
 
   #endExecution(connection: MemberConnection): void {
     const startedAtMs = this.#startedAtMs.get(connection);
     if (startedAtMs === undefined) return;
     this.#startedAtMs.delete(connection);
-    this.#executing -= 1;
+    this.#executingCount -= 1;
     const serviceTimeMs = performance.now() - startedAtMs;
-    this.#meanServiceTimeMs += (serviceTimeMs - this.#meanServiceTimeMs) * SERVICE_TIME_WEIGHT;
+    this.#meanServiceTimeMs += (serviceTimeMs - this.#meanServiceTimeMs) * SERVICE_TIME_SMOOTHING_FACTOR;
   }
 
   #discard(connection: MemberConnection): void {
@@ -244,13 +252,13 @@
     return (ahead * this.#meanServiceTimeMs) / this.options.slots;
   }
 
-  #refusal(reason: AcquireRefusal): AcquireOutcome {
+  #refusalOutcome(reason: AcquireRefusal): AcquireOutcome {
     const drainTimeMs = ((this.#queue.size + 1) * this.#meanServiceTimeMs) / this.options.slots;
     return { kind: 'refused', reason, retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, Math.ceil(drainTimeMs)) };
   }
 
-  #expire(): void {
+  #refuseExpired(): void {
     for (const waiter of this.#queue.takeExpired(performance.now()))
-      waiter.finish(this.#refusal('deadline_passed'));
+      waiter.finish(this.#refusalOutcome('deadline_passed'));
   }
 }
