--- a/src/engine/member-access.ts
+++ b/src/engine/member-access.ts
@@ -44,7 +44,7 @@
       await this.#waitForMember(execution, selection.reason);
       return null;
     }
-    if (demand.allowsReplica && !selection.isReplica) this.context.monitor.wantPositions();
+    if (demand.allowsReplica && !selection.isReplica) this.context.monitor.pollPositionsFrequently();
     const { memberId } = selection.member.address;
     const pool = this.pools.get(memberId);
     if (pool === undefined) return null;
--- a/src/group/commit-evidence.ts
+++ b/src/group/commit-evidence.ts
@@ -1,34 +1,38 @@
 /**
- * Evidence that a commit was not acknowledged by a replaced primary. Pure.
+ * Evidence that a commit was made by a primary that had not been replaced. Pure.
  *
- * A commit may be acknowledged once a majority of the group, asked after the commit, is still in the term of
- * the primary that made it and has received its log position: any later primary then holds it, and no other
- * primary had been chosen when the commit was made.
+ * A commit may be acknowledged once a majority of the group, queried after the commit, reports the term of
+ * the primary that made it and has received its log position: any later primary then has the commit, and no
+ * other primary had been elected when the commit was made.
  *
  * @packageDocumentation
  */
 import { hasReached, type Position } from '../position/position.js';
 import { majorityOf, type MemberStatus } from './group-description.js';
 
-/** A status together with the time at which the question was sent. */
+/** A member status together with the time at which the status query was sent. */
 export interface TimedStatus {
   readonly status: MemberStatus;
   readonly askedAtMs: number;
 }
 
-/** What is known about a commit. */
+/**
+ * State of the evidence for a commit: a majority confirms it (`confirmed`), a majority reports a later term
+ * (`superseded`), or neither yet (`pending`).
+ */
 export type EvidenceState = 'confirmed' | 'superseded' | 'pending';
 
-/** Collects the evidence for one commit. @public */
+/** Collects member statuses as evidence for one commit. @public */
 export class CommitEvidence {
-  readonly #confirming = new Set<string>();
-  readonly #superseding = new Set<string>();
+  readonly #confirmingMemberIds = new Set<string>();
+  readonly #supersedingMemberIds = new Set<string>();
 
   /**
    * @param term - term in which the primary made the commit
    * @param position - log position of the commit
-   * @param committedAtMs - monotonic time at which the commit was known to be made, in milliseconds
-   * @param memberCount - size of the group
+   * @param committedAtMs - monotonic time at which the response to the commit had been received, in
+   *   milliseconds
+   * @param memberCount - number of members in the group
    */
   constructor(
     readonly term: number,
@@ -37,18 +41,19 @@
     private readonly memberCount: number,
   ) {}
 
-  /** Takes a status into account; a question sent before the commit says nothing. */
+  /** Records a status. A status whose query was sent before the commit is no evidence and is ignored. */
   observe({ status, askedAtMs }: TimedStatus): void {
     if (askedAtMs < this.committedAtMs) return;
-    if (status.term > this.term) this.#superseding.add(status.memberId);
-    else if (status.term === this.term && this.#holdsCommit(status)) this.#confirming.add(status.memberId);
+    if (status.term > this.term) this.#supersedingMemberIds.add(status.memberId);
+    else if (status.term === this.term && this.#holdsCommit(status))
+      this.#confirmingMemberIds.add(status.memberId);
   }
 
-  /** What the evidence amounts to. */
+  /** State according to the statuses observed so far. */
   get state(): EvidenceState {
     const majority = majorityOf(this.memberCount);
-    if (this.#confirming.size >= majority) return 'confirmed';
-    return this.#superseding.size >= majority ? 'superseded' : 'pending';
+    if (this.#confirmingMemberIds.size >= majority) return 'confirmed';
+    return this.#supersedingMemberIds.size >= majority ? 'superseded' : 'pending';
   }
 
   #holdsCommit(status: MemberStatus): boolean {
--- a/src/group/group-monitor.ts
+++ b/src/group/group-monitor.ts
@@ -1,5 +1,5 @@
 /**
- * Watches all members of one database group, holds the owner's lease, and gathers evidence for commits.
+ * Monitors all members of one database group, holds the owner's lease and collects evidence for commits.
  *
  * @packageDocumentation
  */
@@ -19,25 +19,27 @@
 
 /** Settings of a group monitor; times in milliseconds. */
 export interface GroupMonitorOptions extends MemberMonitorOptions {
-  /** Time between status questions. */
+  /** Interval between status queries. */
   readonly statusIntervalMs: number;
-  /** Part of the lease that is not used, against clocks that run at different rates. */
+  /** Part of the lease that the owner does not use, as a margin for clocks that run at different rates. */
   readonly leaseMarginMs: number;
-  /** True when the machine list says that a member leaves. */
+  /** True when the machine list reports that a member is leaving. */
   readonly isListedAsLeaving: (memberId: string) => boolean;
 }
 
-/** Time between status questions while a commit waits for its evidence, in milliseconds. */
+/** Interval between status queries while a commit waits for its evidence, in milliseconds. */
 const EVIDENCE_POLL_INTERVAL_MS = 2;
-/** Time between status questions while reads wait for replicas to catch up, in milliseconds. */
+/**
+ * Interval between status queries after a read had to use the primary instead of a replica, in milliseconds.
+ */
 const POSITION_POLL_INTERVAL_MS = 10;
-/** Time for which one such read has the members asked more often, in milliseconds. */
-const POSITION_INTEREST_MS = 200;
-/** Time between status questions while a request waits for a member, in milliseconds. */
+/** Time for which one such read shortens the interval between status queries, in milliseconds. */
+const POSITION_POLL_DURATION_MS = 200;
+/** Interval between status queries while a request waits for a member, in milliseconds. */
 const CHANGE_POLL_INTERVAL_MS = 25;
 
-/** Age up to which a description is used again, in milliseconds; far below the lease's margin. */
-const DESCRIPTION_AGE_MS = 5;
+/** Age up to which a cached description is reused, in milliseconds; far below the margin of the lease. */
+const MAX_DESCRIPTION_AGE_MS = 5;
 
 interface MemberState {
   readonly monitor: MemberMonitor;
@@ -50,21 +52,21 @@
   readonly resolve: (state: EvidenceState) => void;
 }
 
-/** Watches a group on behalf of the daemon that owns it, or tries to. */
+/** Monitors a group for the daemon that owns its database or is trying to acquire it. */
 export class GroupMonitor {
-  /** Called when a member stopped answering, and with it the lock on it is gone. */
+  /** Called when the control connection to a member, and with it the lock on the member, was lost. */
   onMemberLost: (memberId: string) => void = () => undefined;
   readonly #members = new Map<string, MemberState>();
   readonly #lease: QuorumLease;
   readonly #staleness = new StalenessEstimator();
   readonly #evidenceWaiters = new Set<EvidenceWaiter>();
   readonly #changeWaiters = new Set<() => void>();
-  #floorAskedAfterMs: number | null = null;
+  #floorStatusNotBeforeMs: number | null = null;
   #description: GroupDescription | null = null;
   #describedAtMs = 0;
-  #positionsWantedUntilMs = 0;
-  /** What requests wait for: the primary and whether it can be used. */
-  #signature = '';
+  #positionPollUntilMs = 0;
+  /** Term, primary and usability of the primary at the last notification of waiting requests. */
+  #primarySignature = '';
 
   constructor(
     readonly database: DatabaseConfiguration,
@@ -89,12 +91,12 @@
     }
   }
 
-  /** Starts to watch and to take locks. */
+  /** Starts monitoring the members and acquiring their locks. */
   start(): void {
     for (const { monitor } of this.#members.values()) monitor.start();
   }
 
-  /** Stops and releases all locks. */
+  /** Stops monitoring and releases all locks. */
   stop(): void {
     for (const { monitor } of this.#members.values()) monitor.stop();
     for (const waiter of this.#evidenceWaiters) waiter.resolve('pending');
@@ -102,27 +104,27 @@
     this.#notifyChange();
   }
 
-  /** Bytes sent and received on the control connections. */
-  get controlTraffic(): number {
-    let traffic = 0;
-    for (const { monitor } of this.#members.values()) traffic += monitor.traffic;
-    return traffic;
+  /** Number of bytes sent and received on the control connections. */
+  get controlTrafficBytes(): number {
+    let bytes = 0;
+    for (const { monitor } of this.#members.values()) bytes += monitor.traffic;
+    return bytes;
   }
 
-  /** True while this daemon certainly owns the database. */
+  /** True while this daemon is certain to own the database. */
   isLeaseHeld(): boolean {
     return this.#lease.isHeld(performance.now());
   }
 
-  /** True while this daemon certainly holds its lock on a member. */
+  /** True while this daemon is certain to hold its lock on the member. */
   isMemberLocked(memberId: string): boolean {
     return this.#lease.holdsMember(memberId, performance.now());
   }
 
-  /** The group as known now; at most {@link DESCRIPTION_AGE_MS} old. */
+  /** Returns the state of the group, at most {@link MAX_DESCRIPTION_AGE_MS} old. */
   describe(): GroupDescription {
     const nowMs = performance.now();
-    if (this.#description !== null && nowMs - this.#describedAtMs < DESCRIPTION_AGE_MS)
+    if (this.#description !== null && nowMs - this.#describedAtMs < MAX_DESCRIPTION_AGE_MS)
       return this.#description;
     const members = [...this.#members.values()].map((state) => this.#describeMember(state, nowMs));
     this.#description = describeGroup(members);
@@ -130,15 +132,15 @@
     return this.#description;
   }
 
-  /** Has the members asked more often for a while, since a read had to go to the primary. */
-  wantPositions(): void {
+  /** Queries the members more often for a short time, because a read had to use the primary. */
+  pollPositionsFrequently(): void {
     const nowMs = performance.now();
-    const isNew = nowMs >= this.#positionsWantedUntilMs;
-    this.#positionsWantedUntilMs = nowMs + POSITION_INTEREST_MS;
+    const isNew = nowMs >= this.#positionPollUntilMs;
+    this.#positionPollUntilMs = nowMs + POSITION_POLL_DURATION_MS;
     if (isNew) for (const { monitor } of this.#members.values()) monitor.pollNow();
   }
 
-  /** Resolves when the primary or its state changes, or after `timeoutMs`. */
+  /** Resolves when the term, the primary or the primary's state changes, or after `timeoutMs`. */
   waitForChange(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const finish = (): void => {
@@ -152,7 +154,7 @@
   }
 
   /**
-   * Waits for the evidence that a commit may be acknowledged; `pending` when it has not come in time.
+   * Waits until the evidence for a commit is decided; resolves to `pending` if it is not within `timeoutMs`.
    */
   waitForEvidence(evidence: CommitEvidence, timeoutMs: number): Promise<EvidenceState> {
     return new Promise((resolve) => {
@@ -169,21 +171,21 @@
   }
 
   /**
-   * Highest position received by any of a majority of members, all locked and asked after their earlier
-   * owners' connections were ended; `null` while fewer have answered. No write acknowledged by an earlier
-   * owner lies above it.
+   * Returns the read floor of a new owner: the highest position received by any member of a majority, each
+   * locked and queried after the connections of the previous owner to it were closed, or `null` while fewer
+   * have responded. No write that a previous owner acknowledged has a higher position.
    */
   readFloor(): Position | null {
     if (!this.isLeaseHeld()) {
-      this.#floorAskedAfterMs = null;
+      this.#floorStatusNotBeforeMs = null;
       return null;
     }
-    this.#floorAskedAfterMs ??= performance.now();
+    this.#floorStatusNotBeforeMs ??= performance.now();
     const nowMs = performance.now();
     let floor = ZERO_POSITION;
     let count = 0;
     for (const [memberId, { status, askedAtMs }] of this.#members) {
-      if (status === null || askedAtMs < this.#floorAskedAfterMs) continue;
+      if (status === null || askedAtMs < this.#floorStatusNotBeforeMs) continue;
       if (!this.#lease.holdsMember(memberId, nowMs)) continue;
       floor = laterPosition(floor, status.received);
       count += 1;
@@ -191,7 +193,7 @@
     return count >= majorityOf(this.#members.size) ? floor : null;
   }
 
-  /** Position applied by every member that answers; the zero position while one does not. */
+  /** Position that every member has applied; the zero position while the status of any member is unknown. */
   appliedEverywhere(): Position {
     const applied = [...this.#members.values()].map(({ status }) => status?.applied ?? ZERO_POSITION);
     return applied.reduce((lowest, position) =>
@@ -201,18 +203,18 @@
 
   #pollIntervalMs(): number {
     if (this.#evidenceWaiters.size > 0) return EVIDENCE_POLL_INTERVAL_MS;
-    if (performance.now() < this.#positionsWantedUntilMs) return POSITION_POLL_INTERVAL_MS;
+    if (performance.now() < this.#positionPollUntilMs) return POSITION_POLL_INTERVAL_MS;
     if (this.#changeWaiters.size > 0) return CHANGE_POLL_INTERVAL_MS;
     return this.options.statusIntervalMs;
   }
 
-  #handleStatus(memberId: string, status: MemberStatus, askedAtMs: number): void {
+  #handleStatus(memberId: string, status: MemberStatus, sentAtMs: number): void {
     const state = this.#members.get(memberId);
     if (state === undefined) return;
     state.status = status;
-    state.askedAtMs = askedAtMs;
-    if (status.role === 'primary') this.#staleness.record(status.applied, askedAtMs);
-    this.#feedEvidence({ status: { ...status, memberId }, askedAtMs });
+    state.askedAtMs = sentAtMs;
+    if (status.role === 'primary') this.#staleness.record(status.applied, sentAtMs);
+    this.#observeForEvidence({ status: { ...status, memberId }, askedAtMs: sentAtMs });
     this.#notifyChange();
   }
 
@@ -224,7 +226,7 @@
     this.#notifyChange();
   }
 
-  #feedEvidence(observation: TimedStatus): void {
+  #observeForEvidence(observation: TimedStatus): void {
     for (const waiter of [...this.#evidenceWaiters]) {
       waiter.evidence.observe(observation);
       if (waiter.evidence.state !== 'pending') waiter.resolve(waiter.evidence.state);
@@ -236,8 +238,8 @@
     if (this.#changeWaiters.size === 0) return;
     const primary = this.describe().primary;
     const signature = `${this.describe().term} ${primary?.address.memberId} ${primary?.isLocked} ${primary?.isLeaving}`;
-    if (signature === this.#signature) return;
-    this.#signature = signature;
+    if (signature === this.#primarySignature) return;
+    this.#primarySignature = signature;
     for (const wake of [...this.#changeWaiters]) wake();
   }
 
@@ -253,7 +255,7 @@
       stalenessMs:
         status === null
           ? Number.POSITIVE_INFINITY
-          : this.#staleness.estimate(status.applied, nowMs + DESCRIPTION_AGE_MS),
+          : this.#staleness.estimate(status.applied, nowMs + MAX_DESCRIPTION_AGE_MS),
     };
   }
 }
--- a/src/group/select-member.ts
+++ b/src/group/select-member.ts
@@ -1,50 +1,50 @@
 /**
- * Chooses the member that serves a request. Pure: no sockets, clock or random source.
+ * Selects the replica or primary that serves a request. Pure: no sockets, clock or random source.
  *
  * @packageDocumentation
  */
 import { hasReached, type Position } from '../position/position.js';
 import type { GroupDescription, MemberDescription } from './group-description.js';
 
-/** What a request demands of its member. @public */
+/** Requirements of a request on the member that serves it. @public */
 export interface SelectionDemand {
-  /** False when only the primary will do. */
+  /** False when only the primary can serve the request. */
   readonly allowsReplica: boolean;
-  /** Position that the member's reads must have reached. */
+  /** Position that the member must have applied. */
   readonly required: Position;
-  /** Largest staleness accepted of a replica, in milliseconds; `null` for no bound. */
+  /** Maximum staleness of a replica, in milliseconds; `null` for no limit. */
   readonly maxStalenessMs: number | null;
-  /** Zone to prefer among equals. */
+  /** Zone whose replicas are preferred at equal load. */
   readonly preferredZone: string;
-  /** Members to leave out, for instance because an attempt on them has just failed. */
+  /** Members that must not be selected, for instance because an attempt on them has just failed. */
   readonly excludedMemberIds: ReadonlySet<string>;
 }
 
-/** Requests running and waiting at a member, by member id. */
+/** Number of requests running on and waiting for a member, by member id. */
 export type MemberLoads = ReadonlyMap<string, number>;
 
-/** Why no member can serve a request now. */
+/** Reason why no member can serve a request at present. */
 export type WaitReason = 'no_primary' | 'primary_not_locked' | 'primary_leaving';
 
-/** Outcome of a selection. @public */
+/** Result of a selection: a member, or the reason to wait. @public */
 export type Selection =
   | { readonly kind: 'member'; readonly member: MemberDescription; readonly isReplica: boolean }
   | { readonly kind: 'wait'; readonly reason: WaitReason };
 
-/** Chooses a replica if one is allowed and good enough, else the primary, else to wait. */
+/** Selects an eligible replica if the request allows one, otherwise the primary if it is available. */
 export function selectMember(
   group: GroupDescription,
-  demand: SelectionDemand,
+  requirements: SelectionDemand,
   loads: MemberLoads,
 ): Selection {
-  const replica = demand.allowsReplica ? selectReplica(group, demand, loads) : null;
+  const replica = requirements.allowsReplica ? selectReplica(group, requirements, loads) : null;
   if (replica !== null) return { kind: 'member', member: replica, isReplica: true };
-  return selectPrimary(group, demand);
+  return selectPrimary(group, requirements);
 }
 
-function selectPrimary(group: GroupDescription, demand: SelectionDemand): Selection {
+function selectPrimary(group: GroupDescription, requirements: SelectionDemand): Selection {
   const { primary } = group;
-  if (primary === null || demand.excludedMemberIds.has(primary.address.memberId)) {
+  if (primary === null || requirements.excludedMemberIds.has(primary.address.memberId)) {
     return { kind: 'wait', reason: 'no_primary' };
   }
   if (primary.isLeaving) return { kind: 'wait', reason: 'primary_leaving' };
@@ -54,13 +54,13 @@
 
 function selectReplica(
   group: GroupDescription,
-  demand: SelectionDemand,
+  requirements: SelectionDemand,
   loads: MemberLoads,
 ): MemberDescription | null {
-  const eligible = group.members.filter((member) => isEligibleReplica(group, member, demand));
+  const eligible = group.members.filter((member) => isEligibleReplica(group, member, requirements));
   const cost = (member: MemberDescription): number => {
     const load = loads.get(member.address.memberId) ?? 0;
-    return load * 2 + (member.address.zone === demand.preferredZone ? 0 : 1);
+    return load * 2 + (member.address.zone === requirements.preferredZone ? 0 : 1);
   };
   return eligible.reduce<MemberDescription | null>(
     (best, member) => (best === null || cost(member) < cost(best) ? member : best),
@@ -71,12 +71,12 @@
 function isEligibleReplica(
   group: GroupDescription,
   member: MemberDescription,
-  demand: SelectionDemand,
+  requirements: SelectionDemand,
 ): boolean {
   const { status } = member;
   if (status === null || status.role !== 'replica' || status.term !== group.term) return false;
   if (!member.isLocked || member.isLeaving) return false;
-  if (demand.excludedMemberIds.has(member.address.memberId)) return false;
-  if (demand.maxStalenessMs !== null && member.stalenessMs > demand.maxStalenessMs) return false;
-  return hasReached(status.applied, demand.required);
+  if (requirements.excludedMemberIds.has(member.address.memberId)) return false;
+  if (requirements.maxStalenessMs !== null && member.stalenessMs > requirements.maxStalenessMs) return false;
+  return hasReached(status.applied, requirements.required);
 }
--- a/src/ownership/database-controller.ts
+++ b/src/ownership/database-controller.ts
@@ -1,5 +1,6 @@
 /**
- * Decides when this daemon takes a database's lease, and gives it up when it is lost or the daemon stops.
+ * Decides when this daemon acquires the lease of a database, and releases the database when the lease is
+ * lost, no usable primary is found for too long, or the daemon stops.
  *
  * @packageDocumentation
  */
@@ -8,13 +9,13 @@
 import { GroupMonitor, type GroupMonitorOptions } from '../group/group-monitor.js';
 import type { Logger } from '../observability/logger.js';
 
-/** What a controller asks and tells its daemon. */
+/** Queries and notifications from a controller to its daemon. */
 export interface DatabaseControllerPorts {
-  /** Place of this daemon among the candidates, from 0; `null` when it is none. */
+  /** Returns the zero-based rank of this daemon among the candidates; `null` when it is not a candidate. */
   rank(): number | null;
-  /** True when another daemon that is believed alive says it owns the database. */
+  /** True when another daemon that is considered alive reports that it owns the database. */
   isOwnedElsewhere(): boolean;
-  /** The lease was taken or given up. */
+  /** Called after the lease was acquired or released. */
   ownershipChanged(isOwner: boolean): void;
 }
 
@@ -24,38 +25,42 @@
   readonly monitor: GroupMonitorOptions;
   readonly engine: Omit<DatabaseEngineOptions, 'monitor'>;
   readonly log: Logger;
-  /** Time in which a majority of locks must be had. */
+  /** Time within which the locks on a majority of members must be acquired. */
   readonly acquireTimeoutMs: number;
-  /** Time that each place in the ranking waits for the places before it. */
+  /**
+   * Delay per rank before an attempt to acquire the lease, so that the preferred candidates try first.
+   */
   readonly rankDelayMs: number;
-  /** Time without a primary in reach after which an owner leaves the database to another daemon. */
+  /** Time without a reachable primary after which the owner releases the database to another daemon. */
   readonly yieldAfterMs: number;
   readonly random: () => number;
 }
 
-/** An owner that gave up for want of a primary stays away this many times as long as it waited. */
-const YIELD_PAUSE_FACTOR = 2;
-/** Time between ticks of a controller, in milliseconds. */
+/**
+ * Back-off of an owner that released the database because it could not reach a primary, as a multiple of the
+ * time it had waited for one.
+ */
+const YIELD_BACKOFF_FACTOR = 2;
+/** Interval between ticks of a controller, in milliseconds. */
 export const CONTROL_TICK_MS = 50;
-const LOCK_POLL_MS = 10;
+const LOCK_POLL_INTERVAL_MS = 10;
 
-/** Controls one database at one daemon. */
+/** Controls this daemon's ownership of one database. */
 export class DatabaseController {
   #engine: DatabaseEngine | null = null;
   #monitor: GroupMonitor | null = null;
   #isStopped = false;
   #isAcquiring = false;
-  #closedTraffic = 0;
+  #closedMonitorTrafficBytes = 0;
   #unownedSinceMs: number | null = null;
-  #notBeforeMs = 0;
-  #primarySeenMs = 0;
+  #acquireNotBeforeMs = 0;
+  #primaryLastUsableAtMs = 0;
 
   constructor(
     private readonly options: DatabaseControllerOptions,
     private readonly ports: DatabaseControllerPorts,
   ) {}
 
-  /** Configuration of the database. */
   get database(): DatabaseConfiguration {
     return this.options.database;
   }
@@ -65,29 +70,33 @@
     return this.#engine;
   }
 
-  /** The group as the owner sees it, or `null` when this daemon does not own the database. */
+  /** The owner's monitor of the group, or `null` when this daemon does not own the database. */
   get monitor(): GroupMonitor | null {
     return this.#engine === null ? null : this.#monitor;
   }
 
-  /** True when {@link tick} has something to do. */
+  /**
+   * True when this daemon owns the database or is a candidate for it, so that {@link tick} must be called.
+   */
   get isActive(): boolean {
     return this.#engine !== null || this.ports.rank() !== null;
   }
 
-  /** Bytes sent to and received from members for control. */
+  /** Number of bytes sent and received on control connections to members. */
   get controlTraffic(): number {
-    return this.#closedTraffic + (this.#monitor?.controlTraffic ?? 0);
+    return this.#closedMonitorTrafficBytes + (this.#monitor?.controlTrafficBytes ?? 0);
   }
 
-  /** Looks after the database; to be called every {@link CONTROL_TICK_MS}. */
+  /** Checks the lease, or tries to acquire it when due; to be called every {@link CONTROL_TICK_MS}. */
   tick(): void {
     if (this.#isStopped || this.#isAcquiring) return;
     if (this.#engine !== null) this.#checkLease();
     else if (this.#shouldAcquire(performance.now())) void this.#acquire();
   }
 
-  /** Drains and gives the database up; returns how many requests and transactions were cut. */
+  /**
+   * Drains and releases the database; returns how many client streams were still busy and were interrupted.
+   */
   async stop(drainTimeoutMs: number): Promise<number> {
     this.#isStopped = true;
     const cut = this.#engine === null ? 0 : await this.#engine.drain(drainTimeoutMs);
@@ -98,24 +107,24 @@
   #checkLease(): void {
     if (this.#monitor?.isLeaseHeld() !== true) {
       this.#release('lease_lost');
-      this.#postpone(this.options.rankDelayMs);
+      this.#backOff(this.options.rankDelayMs);
       return;
     }
-    if (this.#primarySeenMs + this.options.yieldAfterMs > this.#lookForPrimary()) return;
+    if (this.#primaryLastUsableAtMs + this.options.yieldAfterMs > this.#recordUsablePrimary()) return;
     this.#release('primary_unreachable');
-    this.#postpone(this.options.yieldAfterMs * YIELD_PAUSE_FACTOR);
+    this.#backOff(this.options.yieldAfterMs * YIELD_BACKOFF_FACTOR);
   }
 
-  /** Notes when a primary that can be used was last seen; returns the time now. */
-  #lookForPrimary(): number {
+  /** Updates the time at which the primary was last usable; returns the current time. */
+  #recordUsablePrimary(): number {
     const nowMs = performance.now();
-    if (this.#monitor?.describe().primary?.isLocked === true) this.#primarySeenMs = nowMs;
+    if (this.#monitor?.describe().primary?.isLocked === true) this.#primaryLastUsableAtMs = nowMs;
     return nowMs;
   }
 
   #shouldAcquire(nowMs: number): boolean {
     const rank = this.ports.rank();
-    if (rank === null || nowMs < this.#notBeforeMs) return false;
+    if (rank === null || nowMs < this.#acquireNotBeforeMs) return false;
     if (this.ports.isOwnedElsewhere()) {
       this.#unownedSinceMs = null;
       return false;
@@ -140,18 +149,18 @@
     const deadlineMs = performance.now() + this.options.acquireTimeoutMs;
     let floor = monitor.readFloor();
     while (floor === null && performance.now() < deadlineMs && !this.#isStopped) {
-      await monitor.waitForChange(LOCK_POLL_MS);
+      await monitor.waitForChange(LOCK_POLL_INTERVAL_MS);
       floor = monitor.readFloor();
     }
     if (floor === null || this.#isStopped) {
       this.#release('not_acquired');
-      this.#postpone(this.options.rankDelayMs);
+      this.#backOff(this.options.rankDelayMs);
       return;
     }
     const engine = new DatabaseEngine(this.options.database.name, { ...this.options.engine, monitor });
     engine.positions.raiseFloor(floor);
     this.#engine = engine;
-    this.#primarySeenMs = performance.now();
+    this.#primaryLastUsableAtMs = performance.now();
     this.#unownedSinceMs = null;
     this.options.log.info(
       { database: this.options.database.name, floorTerm: floor.term, floorIndex: floor.index },
@@ -164,7 +173,7 @@
     const wasOwner = this.#engine !== null;
     this.#engine?.stop();
     this.#engine = null;
-    this.#closedTraffic += this.#monitor?.controlTraffic ?? 0;
+    this.#closedMonitorTrafficBytes += this.#monitor?.controlTrafficBytes ?? 0;
     this.#monitor?.stop();
     this.#monitor = null;
     if (!wasOwner) return;
@@ -172,8 +181,8 @@
     this.ports.ownershipChanged(false);
   }
 
-  /** Leaves the database to other daemons for a while. */
-  #postpone(durationMs: number): void {
-    this.#notBeforeMs = performance.now() + durationMs * (0.5 + this.options.random());
+  /** Defers the next attempt to acquire the lease by 0.5 to 1.5 times `durationMs`. */
+  #backOff(durationMs: number): void {
+    this.#acquireNotBeforeMs = performance.now() + durationMs * (0.5 + this.options.random());
   }
 }
--- a/src/ownership/quorum-lease.ts
+++ b/src/ownership/quorum-lease.ts
@@ -1,24 +1,26 @@
 /**
- * The lease of a database's owner: a lock on a majority of the group's members, each of which ends the lock
- * when it has not heard from the owner for the lease time. Pure.
+ * The lease of a database's owner: locks on a majority of the group's members. Each member releases its lock
+ * when it has received nothing from the owner for the duration of the lease. Pure.
  *
  * @packageDocumentation
  */
 import { majorityOf } from '../group/group-description.js';
 
-/** Length of a lease and the part of it that is not used, against clocks that run at different rates. */
+/** Duration of a lease, and its unused part as a margin for clocks that run at different rates. */
 export interface LeaseTimes {
-  /** Time after which a member ends a silent owner's lock, in milliseconds. */
+  /** Time without messages from the owner after which a member releases its lock, in milliseconds. */
   readonly leaseMs: number;
   /** Part of the lease that the owner does not use, in milliseconds. */
   readonly marginMs: number;
 }
 
 /**
- * Locks held on members, each good until the lease time after the last question that was answered was SENT.
+ * Locks held on members. Each is valid for the lease duration, counted from the time at which the last query
+ * that the member answered was SENT.
  *
- * The member counts from the arrival of that question, which is later, so the owner always stops first, also
- * after a pause: every check reads the clock anew.
+ * The member counts from the arrival of that query, which is later, so the owner always stops using the lock
+ * before the member releases it. This also holds after a pause of the process, because every check uses the
+ * current time.
  *
  * @public
  */
@@ -30,7 +32,7 @@
     private readonly times: LeaseTimes,
   ) {}
 
-  /** Records a lock just taken or renewed by a question sent at `sentAtMs` (monotonic, milliseconds). */
+  /** Records a lock that was acquired or renewed by a query sent at `sentAtMs` (monotonic, milliseconds). */
   renew(memberId: string, sentAtMs: number): void {
     this.#renewedAtMs.set(memberId, sentAtMs);
   }
@@ -40,13 +42,13 @@
     this.#renewedAtMs.delete(memberId);
   }
 
-  /** True while the lock on one member is certainly held. */
+  /** True while the lock on the member is certain to be held. */
   holdsMember(memberId: string, nowMs: number): boolean {
     const renewedAtMs = this.#renewedAtMs.get(memberId);
     return renewedAtMs !== undefined && nowMs < renewedAtMs + this.times.leaseMs - this.times.marginMs;
   }
 
-  /** True while a majority of locks is certainly held. */
+  /** True while the locks on a majority of members are certain to be held. */
   isHeld(nowMs: number): boolean {
     let held = 0;
     for (const memberId of this.#renewedAtMs.keys()) if (this.holdsMember(memberId, nowMs)) held += 1;
--- a/src/ownership/rank-table.ts
+++ b/src/ownership/rank-table.ts
@@ -1,35 +1,38 @@
 /**
- * The candidates of every database, brought up to date when daemons or databases change. Pure.
+ * Candidate daemons of every database, updated when the set of daemons or databases changes. Pure.
  *
  * @packageDocumentation
  */
 import { rankCandidates } from './candidate-ranking.js';
 
-/** Candidates for each database; the others neither try to own it nor are asked for it. */
+/**
+ * Number of candidates per database; other daemons do not try to acquire the database and receive no requests
+ * for it.
+ */
 export const CANDIDATES_PER_DATABASE = 3;
 
-/** Candidates by database. */
+/** Ranked candidates by database. */
 export class RankTable {
   #candidates = new Map<string, readonly string[]>();
-  #signature = '';
+  #inputSignature = '';
 
-  /** Ranks anew if anything has changed; true when it had. */
+  /** Recomputes the ranking if the databases or daemons have changed; returns whether they had. */
   update(databases: readonly string[], daemonIds: readonly string[]): boolean {
     const signature = `${databases.join(',')} ${[...daemonIds].sort().join(',')}`;
-    if (signature === this.#signature) return false;
-    this.#signature = signature;
+    if (signature === this.#inputSignature) return false;
+    this.#inputSignature = signature;
     this.#candidates = new Map(
       databases.map((database) => [database, rankCandidates(database, daemonIds, CANDIDATES_PER_DATABASE)]),
     );
     return true;
   }
 
-  /** Candidates for a database, best first. */
+  /** Returns the candidates for a database in order of preference. */
   candidates(database: string): readonly string[] {
     return this.#candidates.get(database) ?? [];
   }
 
-  /** Place of a daemon among the candidates, from 0; `null` when it is none. */
+  /** Returns the zero-based rank of a daemon among the candidates; `null` when it is not a candidate. */
   rankOf(database: string, daemonId: string): number | null {
     const rank = this.candidates(database).indexOf(daemonId);
     return rank < 0 ? null : rank;
