--- a/src/engine/once-keys.ts
+++ b/src/engine/once-keys.ts
@@ -1,17 +1,17 @@
 /**
- * Once-only writes: the key is recorded in the caller's own database, in the transaction of the write itself,
- * so that either both are there or neither.
+ * Once-only keys (idempotency keys) of writes. The key is inserted into the caller's own database in the same
+ * transaction as the write, so that both are committed or neither is.
  *
  * @packageDocumentation
  */
 
-/** Table that holds the keys; operators create it, see docs/reference/member-interface.md. */
+/** Table of the recorded keys; operators create it, see docs/reference/member-interface.md. */
 export const ONCE_TABLE = 'sorrelladder_once';
 
-/** SQLSTATE of a key that is there already. */
+/** SQLSTATE returned when the key has already been recorded (unique violation). */
 export const DUPLICATE_KEY_SQL_STATE = '23505';
 
-/** Statement that records a key. */
+/** Returns the statement that records a key. */
 export function recordKeyStatement(onceKey: string): string {
   return `INSERT INTO ${ONCE_TABLE} (key) VALUES (${quoteLiteral(onceKey)})`;
 }
--- a/src/engine/policy-subject.ts
+++ b/src/engine/policy-subject.ts
@@ -1,5 +1,5 @@
 /**
- * What a policy sees of a request.
+ * Maps a request to the attributes that policy rules can refer to.
  *
  * @packageDocumentation
  */
@@ -7,10 +7,10 @@
 import type { StatementRequest } from './statement-request.js';
 
 /**
- * Describes a request to a policy.
+ * Builds the policy attributes of a request.
  *
  * @param hour - hour of the day in UTC, 0 to 23
- * @param lagMs - the least replica's staleness, in milliseconds
+ * @param lagMs - lowest staleness of any replica, in milliseconds
  */
 export function policySubject(request: StatementRequest, hour: number, lagMs: number): PolicySubject {
   return {
@@ -25,7 +25,7 @@
   };
 }
 
-/** A transaction that is declared read only counts as a read, a setting as a write. */
+/** Statements of a read-only transaction count as reads; SET and unsupported statements count as writes. */
 function policyKind({ kind, isReadOnlyTransaction }: StatementRequest): PolicySubject['kind'] {
   if (isReadOnlyTransaction) return 'read';
   return kind === 'set' || kind === 'unsupported' ? 'write' : kind;
--- a/src/engine/statement-request.ts
+++ b/src/engine/statement-request.ts
@@ -1,5 +1,6 @@
 /**
- * A request as it travels from the daemon that holds the client to the daemon that owns the database.
+ * A request as it is sent from the daemon that the client is connected to, to the daemon that owns the
+ * database.
  *
  * @packageDocumentation
  */
@@ -9,10 +10,10 @@
 
 /** A prepared statement that the request refers to. */
 export interface PreparedReference {
-  /** Name under which the frames refer to it: a hash of text and types. */
+  /** Name by which the frames refer to the statement: a hash of its text and parameter types. */
   readonly name: string;
   readonly text: string;
-  /** Parameter types, as the Parse message carries them. */
+  /** Parameter types, encoded as in the Parse message. */
   readonly typesPart: Uint8Array;
 }
 
@@ -20,11 +21,11 @@
 export interface StatementRequest {
   readonly database: string;
   readonly user: string;
-  /** Identity of the client's connection, unique among all daemons. */
+  /** Identifier of the client's connection, unique across all daemons. */
   readonly streamId: string;
-  /** Identity of the session whose writes must be visible; the connection's own if none was given. */
+  /** Identifier of the session whose writes must be visible; the connection's own if the client set none. */
   readonly session: string;
-  /** Zone of the daemon that holds the client. */
+  /** Zone of the daemon that the client is connected to. */
   readonly zone: string;
   readonly requestClass: string;
   readonly onceKey: string | null;
@@ -32,29 +33,33 @@
   readonly isReadOnlyTransaction: boolean;
   readonly leavesSessionState: boolean;
   readonly controlsTransaction: boolean;
-  /** SET statements to be in force on the connection, oldest first. */
+  /** SET statements that must have been applied to the connection, oldest first. */
   readonly settings: readonly string[];
   readonly prepared: readonly PreparedReference[];
-  /** Whole protocol messages, the last of them Query, Sync or Flush. */
+  /** Complete protocol messages, ending with Query, Sync or Flush. */
   readonly frames: Uint8Array;
   readonly terminator: 'query' | 'sync' | 'flush';
   /**
-   * What the client takes to be open: a transaction, the batch that its last Flush left open, or nothing. Where it
-   * is not open any more, the request must not run on its own.
+   * What the client believes to be open: a transaction, the batch that its last Flush left open, or nothing.
+   * If that is no longer open, the request must be rejected instead of being run outside of it.
    */
   readonly continues: 'transaction' | 'batch' | 'nothing';
-  /** Time left before an answer is of no use, in milliseconds; `null` to use the policy's. */
+  /**
+   * Time left until the client's deadline, in milliseconds; `null` to use only the deadline of the policy.
+   */
   readonly remainingMs: number | null;
 }
 
-/** Receives the answer to a request. */
+/** Receives the response to a request. */
 export interface AnswerSink {
-  /** Whole protocol messages of the answer, without ReadyForQuery. */
+  /** Passes on complete protocol messages of the response, without ReadyForQuery. */
   data(frames: Buffer): void;
-  /** The answer is complete. */
+  /** Called when the response is complete. */
   end(status: TransactionStatus): void;
-  /** The request is over without its normal answer; `status` is the state its connection is left in. */
+  /**
+   * Called when the request failed; `status` is the transaction status of the client's connection after it.
+   */
   fail(error: RequestError, status: TransactionStatus): void;
-  /** The request was not run here: this daemon does not own the database. */
+  /** Called when the request was not run because this daemon does not own the database. */
   notOwner(): void;
 }
