--- a/src/engine/doubtful-sink.ts
+++ b/src/engine/doubtful-sink.ts
@@ -1,5 +1,5 @@
 /**
- * Reports a request of which an earlier attempt may have run.
+ * Adjusts the reported outcome of a request when an earlier attempt of it may have run.
  *
  * @packageDocumentation
  */
@@ -7,20 +7,20 @@
 import type { AnswerSink } from './statement-request.js';
 
 /**
- * Wraps a sink after an attempt was lost: what a later attempt says of itself, `not_run`, is not true of the
- * request any more.
+ * Wraps a sink after the connection of an attempt was lost. A verdict of `not_run` from a later attempt holds
+ * for that attempt only, so it is reported as `may_have_run` for the request as a whole.
  */
 export function doubtfulSink<Sink extends AnswerSink>(sink: Sink): Sink {
   return {
     ...sink,
     data: (frames) => sink.data(frames),
     end: (status) => sink.end(status),
-    fail: (error, status) => sink.fail(error.verdict === 'not_run' ? doubt(error) : error, status),
-    notOwner: () => sink.fail(doubt(null), 'I'),
+    fail: (error, status) => sink.fail(error.verdict === 'not_run' ? indeterminate(error) : error, status),
+    notOwner: () => sink.fail(indeterminate(null), 'I'),
   };
 }
 
-function doubt(error: RequestError | null): RequestError {
+function indeterminate(error: RequestError | null): RequestError {
   const message = `an earlier attempt was lost${error === null ? '' : `, then: ${error.message}`}`;
   return new RequestError(
     SqlState.statementCompletionUnknown,
