--- a/src/engine/attempt.ts
+++ b/src/engine/attempt.ts
@@ -12,29 +12,31 @@
 import { recordKeyStatement } from './once-keys.js';
 import type { StatementRequest } from './statement-request.js';
 
-/** How a request is to be run. */
+/** Options of one attempt. */
 export interface AttemptOptions {
-  /** True to keep the answer until the caller of the attempt releases it. */
-  readonly holdsAnswer: boolean;
-  /** True to ask for the member's status right behind the request. */
-  readonly asksStatus: boolean;
-  /** Receives the answer when it is not held. */
+  /** True to buffer the response and return it in the outcome instead of passing it to `onData`. */
+  readonly buffersResponse: boolean;
+  /** True to send a status query to the member directly after the request. */
+  readonly queriesStatus: boolean;
+  /** Receives the response as it arrives, unless it is buffered. */
   readonly onData: (frames: Buffer) => void;
 }
 
-/** How an attempt ended. */
+/** Outcome of an attempt: a complete response, or a connection lost before that. */
 export type AttemptOutcome =
   | {
       readonly kind: 'complete';
       readonly status: TransactionStatus;
       /** SQLSTATE of the first error of the request itself, or `null`. */
       readonly sqlState: string | null;
-      /** SQLSTATE of the first error in recording the once-only key or committing with it, or `null`. */
+      /** SQLSTATE of the first error while recording the once-only key or committing with it, or `null`. */
       readonly onceSqlState: string | null;
-      readonly heldAnswer: readonly Buffer[];
-      /** Resolves to the status rows, or to `null` when the connection was lost first. */
+      readonly bufferedResponse: readonly Buffer[];
+      /** Resolves to the rows of the status query, or to `null` if it failed or was not sent. */
       readonly memberStatus: Promise<QueryRows | null>;
-      /** Monotonic time at which the request was known to be complete, in milliseconds. */
+      /**
+       * Monotonic time at which all responses, including that of COMMIT, had been received, in milliseconds.
+       */
       readonly completedAtMs: number;
     }
   | { readonly kind: 'lost'; readonly hasSentData: boolean };
@@ -44,31 +46,34 @@
   readonly sqlState: string | null;
 }
 
-/** Sends the request and everything that goes with it in one write, and follows the answers. */
+/**
+ * Sends the request and the statements that belong to it (settings, once-only key, status query) pipelined in
+ * one write, and collects their responses.
+ */
 export async function runAttempt(
   connection: MemberConnection,
   request: StatementRequest,
   options: AttemptOptions,
 ): Promise<AttemptOutcome> {
   applySettings(connection, request.settings);
-  const held: Buffer[] = [];
+  const buffered: Buffer[] = [];
   let hasSentData = false;
   const onData = (frames: Buffer): void => {
-    if (options.holdsAnswer) {
-      held.push(frames);
+    if (options.buffersResponse) {
+      buffered.push(frames);
       return;
     }
     hasSentData = true;
     options.onData(frames);
   };
   const hasOnceKey = request.onceKey !== null;
-  const begin = hasOnceKey ? submitHidden(connection, 'BEGIN') : null;
-  const recordKey = hasOnceKey ? submitHidden(connection, recordKeyStatement(request.onceKey ?? '')) : null;
-  const main = submitMain(connection, request, onData);
-  const commit = hasOnceKey ? submitHidden(connection, 'COMMIT') : null;
-  const memberStatus = options.asksStatus ? askStatus(connection) : Promise.resolve(null);
+  const begin = hasOnceKey ? submitInternal(connection, 'BEGIN') : null;
+  const recordKey = hasOnceKey ? submitInternal(connection, recordKeyStatement(request.onceKey ?? '')) : null;
+  const requestResult = submitRequest(connection, request, onData);
+  const commit = hasOnceKey ? submitInternal(connection, 'COMMIT') : null;
+  const memberStatus = options.queriesStatus ? queryStatus(connection) : Promise.resolve(null);
 
-  const results = await Promise.all([begin, recordKey, main, commit]);
+  const results = await Promise.all([begin, recordKey, requestResult, commit]);
   if (results.some((result) => result === 'lost')) return { kind: 'lost', hasSentData };
   const [, recorded, completed, committed] = results as (ExchangeResult | null)[];
   const last = committed ?? completed;
@@ -77,28 +82,28 @@
     status: last?.status ?? 'I',
     sqlState: completed?.sqlState ?? null,
     onceSqlState: recorded?.sqlState ?? committed?.sqlState ?? null,
-    heldAnswer: held,
+    bufferedResponse: buffered,
     memberStatus,
     completedAtMs: performance.now(),
   };
 }
 
-/** Brings the session settings of the caller in force on the connection, if they are not. */
+/** Applies the caller's session settings to the connection, unless the connection already has them. */
 function applySettings(connection: MemberConnection, settings: readonly string[]): void {
   const signature = settings.join(';');
   if (connection.settingsSignature === signature) return;
   connection.settingsSignature = signature;
-  void submitHidden(connection, ['RESET ALL', ...settings].join(';'));
+  void submitInternal(connection, ['RESET ALL', ...settings].join(';'));
 }
 
-/** Clears everything that a caller has left on a connection. */
+/** Discards the session state (settings, locks, prepared statements) that a caller left on a connection. */
 export function discardSessionState(connection: MemberConnection): void {
   connection.settingsSignature = '';
   connection.preparedNames.clear();
-  void submitHidden(connection, 'DISCARD ALL');
+  void submitInternal(connection, 'DISCARD ALL');
 }
 
-function submitMain(
+function submitRequest(
   connection: MemberConnection,
   request: StatementRequest,
   onData: (frames: Buffer) => void,
@@ -121,7 +126,7 @@
   });
 }
 
-function submitHidden(connection: MemberConnection, text: string): Promise<ExchangeResult | 'lost'> {
+function submitInternal(connection: MemberConnection, text: string): Promise<ExchangeResult | 'lost'> {
   return new Promise((resolve) => {
     connection.submit({
       bytes: serialize.query(text),
@@ -136,6 +141,6 @@
   });
 }
 
-function askStatus(connection: MemberConnection): Promise<QueryRows | null> {
+function queryStatus(connection: MemberConnection): Promise<QueryRows | null> {
   return connection.query(STATUS_STATEMENT).catch(() => null);
 }
--- a/src/engine/batch-plan.ts
+++ b/src/engine/batch-plan.ts
@@ -1,5 +1,6 @@
 /**
- * Prepares a request's messages for one connection: adds the statements that it lacks and plans the replies.
+ * Prepares the protocol messages of a request for one connection: adds Parse messages for prepared statements
+ * that the connection does not have, and lists the expected replies.
  *
  * @packageDocumentation
  */
@@ -11,19 +12,19 @@
 import { FrontendType } from '../wire/message-types.js';
 import type { StatementRequest } from './statement-request.js';
 
-/** Bytes to send and the replies to expect. */
+/** Bytes to send and the replies expected for them. */
 export interface BatchPlan {
   readonly bytes: Buffer;
   readonly plan: ReplyPlan;
 }
 
-const MAX_PREPARED_PER_CONNECTION = 256;
+const MAX_PREPARED_STATEMENTS_PER_CONNECTION = 256;
 const NO_LIMIT = Number.MAX_SAFE_INTEGER;
 
-/** Plans an extended-protocol request for a connection. */
+/** Builds the batch of an extended-protocol request for a connection. */
 export function planBatch(request: StatementRequest, connection: MemberConnection): BatchPlan {
   const builder = new BatchBuilder(connection);
-  builder.makeRoom(request.prepared.length);
+  builder.evictPrepared(request.prepared.length);
   for (const reference of request.prepared) {
     if (connection.preparedNames.has(reference.name)) continue;
     const typesPart = asBuffer(reference.typesPart);
@@ -45,11 +46,13 @@
 
   constructor(private readonly connection: MemberConnection) {}
 
-  /** Closes the oldest statements of the connection when it holds too many. */
-  makeRoom(needed: number): void {
+  /**
+   * Closes the oldest prepared statements when `additionalCount` more would exceed the connection's limit.
+   */
+  evictPrepared(additionalCount: number): void {
     const { preparedNames } = this.connection;
     for (const name of preparedNames) {
-      if (preparedNames.size + needed <= MAX_PREPARED_PER_CONNECTION) return;
+      if (preparedNames.size + additionalCount <= MAX_PREPARED_STATEMENTS_PER_CONNECTION) return;
       this.#closeStatement(name);
     }
   }
@@ -87,7 +90,7 @@
     return { bytes: Buffer.concat(this.#frames), plan };
   }
 
-  /** A statement that the connection has already would be refused, so it is closed first. */
+  /** Closes an existing statement of the same name first: the member would reject a second Parse for it. */
   #addParse(frame: Buffer): void {
     const { name } = readParse(frame);
     if (this.connection.preparedNames.has(name)) this.#closeStatement(name);
--- a/src/engine/commit-acknowledger.ts
+++ b/src/engine/commit-acknowledger.ts
@@ -1,5 +1,5 @@
 /**
- * Acknowledges commits, on evidence that their primary had not been replaced.
+ * Acknowledges commits after a majority of the group has confirmed that the primary had not been replaced.
  *
  * @packageDocumentation
  */
@@ -9,33 +9,33 @@
 import type { AttemptOutcome } from './attempt.js';
 import type { EngineContext, Execution } from './execution.js';
 import { DUPLICATE_KEY_SQL_STATE } from './once-keys.js';
-import type { PinnedConnection } from './stream.js';
+import type { PinnedConnection } from './client-stream.js';
 
-/** An attempt whose answer has come. */
+/** Outcome of an attempt whose response is complete. */
 export type CompleteOutcome = Extract<AttemptOutcome, { kind: 'complete' }>;
 
-const UNKNOWN_COMMIT_SQL_STATE = '40003';
+const STATEMENT_COMPLETION_UNKNOWN_SQL_STATE = '40003';
 
 /** Acknowledges the commits of one database. */
 export class CommitAcknowledger {
   constructor(private readonly context: EngineContext) {}
 
-  /** Answers a request that has committed, or says why it cannot. */
+  /** Sends the buffered response once the commit is confirmed, or an error if it failed or is unconfirmed. */
   async acknowledge(execution: Execution, pinned: PinnedConnection, outcome: CompleteOutcome): Promise<void> {
     const { stream, sink, request } = execution;
     const isDuplicate = outcome.onceSqlState === DUPLICATE_KEY_SQL_STATE;
     const hasCommitted = isDuplicate || outcome.onceSqlState === null;
     if ((outcome.sqlState !== null && !request.controlsTransaction && !isDuplicate) || !hasCommitted) {
-      this.#reportUncommitted(execution, outcome);
+      this.#reportNotCommitted(execution, outcome);
       return;
     }
-    const isConfirmed = await this.#gatherEvidence(execution, pinned, outcome);
+    const isConfirmed = await this.#confirmCommit(execution, pinned, outcome);
     stream.status = 'I';
     stream.unpin('release');
     if (!isConfirmed) {
       this.context.metrics.unconfirmedCommits.inc({ database: this.context.database });
       sink.fail(
-        unknownCommit('no majority of the group confirmed the commit in the term of its primary'),
+        unknownCommitError('no majority of the group confirmed the commit in the term of its primary'),
         'I',
       );
       return;
@@ -47,18 +47,21 @@
       );
       return;
     }
-    for (const frames of outcome.heldAnswer) sink.data(frames);
+    for (const frames of outcome.bufferedResponse) sink.data(frames);
     sink.end('I');
   }
 
-  /** The member answered with an error and has committed nothing. */
-  #reportUncommitted(execution: Execution, outcome: CompleteOutcome): void {
+  /**
+   * Reports a request for which the member returned an error. Nothing was committed, except that SQLSTATE
+   * 40003 leaves the outcome unknown.
+   */
+  #reportNotCommitted(execution: Execution, outcome: CompleteOutcome): void {
     const { stream, sink } = execution;
     stream.status = 'I';
     stream.unpin('release');
     const sqlState = outcome.sqlState ?? outcome.onceSqlState;
-    if (sqlState === UNKNOWN_COMMIT_SQL_STATE) {
-      sink.fail(unknownCommit('the primary was replaced while it committed'), 'I');
+    if (sqlState === STATEMENT_COMPLETION_UNKNOWN_SQL_STATE) {
+      sink.fail(unknownCommitError('the primary was replaced while it committed'), 'I');
       return;
     }
     if (outcome.sqlState === null || outcome.onceSqlState !== null) {
@@ -66,11 +69,11 @@
       sink.fail(new RequestError(SqlState.lockNotAvailable, 'not_run', message, 200), 'I');
       return;
     }
-    for (const frames of outcome.heldAnswer) sink.data(frames);
+    for (const frames of outcome.bufferedResponse) sink.data(frames);
     sink.end('I');
   }
 
-  async #gatherEvidence(
+  async #confirmCommit(
     execution: Execution,
     pinned: PinnedConnection,
     outcome: CompleteOutcome,
@@ -91,6 +94,6 @@
   }
 }
 
-function unknownCommit(message: string): RequestError {
+function unknownCommitError(message: string): RequestError {
   return new RequestError(SqlState.statementCompletionUnknown, 'may_have_run', message);
 }
--- a/src/engine/member-access.ts
+++ b/src/engine/connection-selector.ts
@@ -1,5 +1,5 @@
 /**
- * Finds a member and a connection for a request.
+ * Selects a member for a request and acquires a connection to it.
  *
  * @packageDocumentation
  */
@@ -8,43 +8,45 @@
 import { backoffDelayMs } from '../retry/backoff.js';
 import { SqlState } from '../verdict/verdict.js';
 import { ATTEMPT_BACKOFF, delay, refuse, type EngineContext, type Execution } from './execution.js';
-import type { PinnedConnection } from './stream.js';
+import type { PinnedConnection } from './client-stream.js';
 
-/** Longest wait for a change of the group before a request chooses again, in milliseconds. */
-const MAX_WAIT_SLICE_MS = 100;
-/** When to come back where too many wait for a member already, in milliseconds. */
-const RETRY_AFTER_FULL_MS = 500;
+/** Maximum wait for a change of the group before the selection is repeated, in milliseconds. */
+const MAX_MEMBER_WAIT_MS = 100;
+/** Retry delay sent to the client when too many requests already wait for a member, in milliseconds. */
+const RETRY_AFTER_QUEUE_FULL_MS = 500;
 
-/** Access to the members of one database. */
-export class MemberAccess {
-  /** Requests that wait for a member that can serve them. */
-  #waitingForMember = 0;
+/** Selects connections to the members of one database. */
+export class ConnectionSelector {
+  /** Number of requests that wait for a member that can serve them. */
+  #waitingForMemberCount = 0;
 
   constructor(
     private readonly context: EngineContext,
     private readonly pools: ReadonlyMap<string, MemberPool>,
   ) {}
 
-  /** A connection, `null` to choose again, or `refused` when the request is over. */
-  async obtain(execution: Execution): Promise<PinnedConnection | 'refused' | null> {
+  /**
+   * Returns a connection, `null` if the selection must be repeated, or `refused` if the request was refused.
+   */
+  async selectConnection(execution: Execution): Promise<PinnedConnection | 'refused' | null> {
     const { request, decision, stream } = execution;
     const group = this.context.monitor.describe();
     const isRead = request.kind === 'read' || request.isReadOnlyTransaction;
-    const demand: SelectionDemand = {
+    const requirements: SelectionDemand = {
       allowsReplica: isRead && decision.replica && request.onceKey === null,
       required: this.context.positions.required(request.session),
       maxStalenessMs: decision.maxStalenessMs,
       preferredZone: request.zone,
       excludedMemberIds: execution.excludedMemberIds,
     };
-    const selection = selectMember(group, demand, this.#loads());
+    const selection = selectMember(group, requirements, this.#loads());
     if (selection.kind === 'wait') {
-      if (this.#waitingForMember >= this.context.maxWaiting)
-        return this.#handleRefusal(execution, '', 'queue_full', RETRY_AFTER_FULL_MS);
+      if (this.#waitingForMemberCount >= this.context.maxWaiting)
+        return this.#handleRefusal(execution, '', 'queue_full', RETRY_AFTER_QUEUE_FULL_MS);
       await this.#waitForMember(execution, selection.reason);
       return null;
     }
-    if (demand.allowsReplica && !selection.isReplica) this.context.monitor.pollPositionsFrequently();
+    if (requirements.allowsReplica && !selection.isReplica) this.context.monitor.pollPositionsFrequently();
     const { memberId } = selection.member.address;
     const pool = this.pools.get(memberId);
     if (pool === undefined) return null;
@@ -56,13 +58,16 @@
     if (outcome.kind === 'refused')
       return this.#handleRefusal(execution, memberId, outcome.reason, outcome.retryAfterMs);
     const pinned = { connection: outcome.connection, pool, memberId, term: group.term };
-    return this.#confirmSelection(pinned, demand, selection.isReplica);
+    return this.#revalidateSelection(pinned, requirements, selection.isReplica);
   }
 
-  /** After the wait for a connection, the member may no longer be the right one. */
-  #confirmSelection(
+  /**
+   * Checks that the selection is still valid, since the group may have changed during the wait for a
+   * connection.
+   */
+  #revalidateSelection(
     pinned: PinnedConnection,
-    demand: SelectionDemand,
+    requirements: SelectionDemand,
     isReplica: boolean,
   ): PinnedConnection | null {
     const group = this.context.monitor.describe();
@@ -81,12 +86,12 @@
 
   async #waitForMember(execution: Execution, reason: WaitReason): Promise<void> {
     this.context.metrics.waits.inc({ database: this.context.database, reason });
-    const waitMs = Math.min(MAX_WAIT_SLICE_MS, execution.deadlineMs - performance.now());
+    const waitMs = Math.min(MAX_MEMBER_WAIT_MS, execution.deadlineMs - performance.now());
     const { cancelSignal } = execution.stream;
     const canceled = new Promise<void>((resolve) => cancelSignal.setListener(resolve));
-    this.#waitingForMember += 1;
+    this.#waitingForMemberCount += 1;
     await Promise.race([this.context.monitor.waitForChange(waitMs), canceled]);
-    this.#waitingForMember -= 1;
+    this.#waitingForMemberCount -= 1;
     cancelSignal.setListener(null);
     execution.excludedMemberIds.clear();
   }
--- a/src/engine/database-engine.ts
+++ b/src/engine/database-engine.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the requests for one database at the daemon that owns it.
+ * Executes the requests for one database on the daemon that owns it.
  *
  * @packageDocumentation
  */
@@ -19,48 +19,48 @@
   type Execution,
   type Refusal,
 } from './execution.js';
-import { MemberAccess } from './member-access.js';
+import { ConnectionSelector } from './connection-selector.js';
 import { policySubject } from './policy-subject.js';
 import { RequestRunner } from './request-runner.js';
 import type { AnswerSink, StatementRequest } from './statement-request.js';
-import { Stream, type PinnedConnection } from './stream.js';
+import { ClientStream, type PinnedConnection } from './client-stream.js';
 
 /** Settings of an engine; times in milliseconds. */
 export interface DatabaseEngineOptions {
   readonly monitor: GroupMonitor;
-  /** Makes the pool of a member, which opens connections only while `mayOpen` says so. */
+  /** Creates the connection pool of a member, which opens connections only while `mayOpen` returns true. */
   readonly createPool: (memberId: string, mayOpen: () => boolean) => MemberPool;
   readonly policy: () => Policy;
   readonly metrics: EngineMetrics;
-  /** Longest wait for the evidence that a commit may be acknowledged. */
+  /** Maximum wait for a majority to confirm a commit. */
   readonly evidenceTimeoutMs: number;
   readonly maxSessions: number;
-  /** Most requests that wait for a member that can serve them, for instance during an election. */
+  /** Maximum number of requests that wait for an available member, for instance during an election. */
   readonly maxWaiting: number;
   /** Random numbers in 0..1, for jitter. */
   readonly random: () => number;
 }
 
-const GIVEN_UP_BY_SENDER: Refusal = {
+const SENDER_TIMED_OUT: Refusal = {
   sqlState: SqlState.cannotConnectNow,
   message: 'the daemon that sent the request may have given up on it',
   retryAfterMs: 0,
 };
 
-const FORGET_INTERVAL_MS = 250;
-const DRAIN_POLL_MS = 10;
-/** When to come back after no member could serve in time, in milliseconds. */
+const POSITION_PRUNE_INTERVAL_MS = 250;
+const DRAIN_POLL_INTERVAL_MS = 10;
+/** Retry delay sent to the client when no member could serve the request in time, in milliseconds. */
 const RETRY_AFTER_DEADLINE_MS = 500;
 
-/** Engine of one owned database. */
+/** Request engine of one database that this daemon owns. */
 export class DatabaseEngine {
   readonly positions: SessionPositions;
   readonly #pools = new Map<string, MemberPool>();
-  readonly #streams = new Map<string, Stream>();
+  readonly #streams = new Map<string, ClientStream>();
   readonly #context: EngineContext;
-  readonly #access: MemberAccess;
+  readonly #connectionSelector: ConnectionSelector;
   readonly #runner: RequestRunner;
-  readonly #forgetTimer: NodeJS.Timeout;
+  readonly #pruneTimer: NodeJS.Timeout;
   #isDraining = false;
   #isStopped = false;
 
@@ -76,7 +76,7 @@
       retryBudget: new RetryBudget({ retriesPerRequest: 0.1, maxSaved: 50 }),
       isStopped: () => this.#isStopped,
     };
-    this.#access = new MemberAccess(this.#context, this.#pools);
+    this.#connectionSelector = new ConnectionSelector(this.#context, this.#pools);
     this.#runner = new RequestRunner(this.#context);
     for (const { id } of options.monitor.database.members) {
       this.#pools.set(
@@ -85,27 +85,28 @@
       );
     }
     options.monitor.onMemberLost = (memberId) => this.#pools.get(memberId)?.reset();
-    this.#forgetTimer = setInterval(
+    this.#pruneTimer = setInterval(
       () => this.positions.forgetApplied(options.monitor.appliedEverywhere()),
-      FORGET_INTERVAL_MS,
+      POSITION_PRUNE_INTERVAL_MS,
     );
-    this.#forgetTimer.unref();
+    this.#pruneTimer.unref();
   }
 
-  /** Pools by member id. */
+  /** Connection pools by member id. */
   get pools(): ReadonlyMap<string, MemberPool> {
     return this.#pools;
   }
 
   /**
-   * Runs a request; the sink hears exactly one end.
+   * Executes a request. Exactly one of the sink's `end`, `fail` and `notOwner` is called.
    *
-   * @param isAwaited - asked right before the request is sent to a member
+   * @param isAwaited - checked directly before the request is sent to a member; when it returns false, the
+   *   sender may have stopped waiting and the request is refused
    */
   async execute(request: StatementRequest, sink: AnswerSink, isAwaited: () => boolean): Promise<void> {
-    const stream = this.#stream(request);
+    const stream = this.#findOrCreateStream(request);
     if (!this.#mayServe(stream)) {
-      this.#rejectUnowned(stream, sink);
+      this.#rejectWithoutLease(stream, sink);
       this.#streams.delete(stream.streamId);
       return;
     }
@@ -114,9 +115,9 @@
       sink.fail(transactionLost('its connection is gone'), request.continues === 'transaction' ? 'E' : 'I');
       return;
     }
-    if (request.onceKey !== null && !canRunOnce(stream, request)) {
+    if (request.onceKey !== null && !supportsOnceKey(stream, request)) {
       const message = 'a once-only key goes with a single write outside a transaction';
-      this.#refuseUnstarted(sink, stream, {
+      this.#refuseBeforeStart(sink, stream, {
         sqlState: SqlState.featureNotSupported,
         message,
         retryAfterMs: null,
@@ -125,11 +126,11 @@
     }
     const decision = this.options
       .policy()
-      .decide(policySubject(request, new Date().getUTCHours(), this.#lowestLagMs()));
+      .decide(policySubject(request, new Date().getUTCHours(), this.#minReplicaStalenessMs()));
     if (decision.refuse !== null) {
       const message = `refused by policy: ${decision.refuse}`;
       const sqlState = SqlState.configurationLimitExceeded;
-      this.#refuseUnstarted(sink, stream, { sqlState, message, retryAfterMs: null });
+      this.#refuseBeforeStart(sink, stream, { sqlState, message, retryAfterMs: null });
       return;
     }
     const limitMs = Math.min(decision.deadlineMs, request.remainingMs ?? Number.POSITIVE_INFINITY);
@@ -151,22 +152,22 @@
       else await this.#runUnpinned(execution);
     } finally {
       stream.isRunning = false;
-      if (stream.isClosed) this.#endStream(stream);
+      if (stream.isClosed) this.#removeStream(stream);
       else if (stream.pinned === null) this.#streams.delete(stream.streamId);
     }
   }
 
-  /** Cancels what a stream runs or waits for. */
+  /** Cancels the request that a stream is running or waiting to run. */
   cancel(streamId: string): void {
     const stream = this.#streams.get(streamId);
     if (stream === undefined || !stream.isRunning) return;
     stream.cancelSignal.cancel();
     if (stream.pinned === null) return;
-    stream.isTainted = true;
+    stream.hasCancelInFlight = true;
     stream.pinned.connection.cancel();
   }
 
-  /** Ends a stream: what is open is rolled back. */
+  /** Closes a stream; its open transaction is rolled back. */
   closeStream(streamId: string): void {
     const stream = this.#streams.get(streamId);
     if (stream === undefined) return;
@@ -176,50 +177,53 @@
       if (stream.pinned !== null) stream.pinned.connection.destroy();
       return;
     }
-    this.#endStream(stream);
+    this.#removeStream(stream);
   }
 
-  /** Takes no new work and waits until transactions have ended; returns how many were still open. */
+  /**
+   * Stops accepting requests, except in open transactions, and waits until running requests and transactions
+   * have ended; returns how many streams were still busy at the time-out.
+   */
   async drain(timeoutMs: number): Promise<number> {
     this.#isDraining = true;
     const deadlineMs = performance.now() + timeoutMs;
-    while (this.#busyStreams() > 0 && performance.now() < deadlineMs) await delay(DRAIN_POLL_MS);
-    return this.#busyStreams();
+    while (this.#busyStreamCount() > 0 && performance.now() < deadlineMs) await delay(DRAIN_POLL_INTERVAL_MS);
+    return this.#busyStreamCount();
   }
 
-  /** Ends everything at once. */
+  /** Cancels all waits and closes all connections immediately. */
   stop(): void {
     this.#isStopped = true;
-    clearInterval(this.#forgetTimer);
+    clearInterval(this.#pruneTimer);
     for (const stream of this.#streams.values()) stream.cancelSignal.cancel();
     for (const pool of this.#pools.values()) pool.close();
   }
 
-  #refuseUnstarted(sink: AnswerSink, stream: Stream, refusal: Refusal): void {
+  #refuseBeforeStart(sink: AnswerSink, stream: ClientStream, refusal: Refusal): void {
     refuse(this.#context, sink, stream, refusal);
     if (stream.pinned === null) this.#streams.delete(stream.streamId);
   }
 
-  #busyStreams(): number {
+  #busyStreamCount(): number {
     let busy = 0;
     for (const stream of this.#streams.values()) if (stream.isRunning || stream.pinned !== null) busy += 1;
     return busy;
   }
 
-  #stream(request: StatementRequest): Stream {
+  #findOrCreateStream(request: StatementRequest): ClientStream {
     const known = this.#streams.get(request.streamId);
     if (known !== undefined) return known;
-    const stream = new Stream(request.streamId);
+    const stream = new ClientStream(request.streamId);
     this.#streams.set(request.streamId, stream);
     return stream;
   }
 
-  #mayServe(stream: Stream): boolean {
+  #mayServe(stream: ClientStream): boolean {
     if (this.#isStopped || !this.options.monitor.isLeaseHeld()) return false;
     return !this.#isDraining || stream.pinned !== null;
   }
 
-  #rejectUnowned(stream: Stream, sink: AnswerSink): void {
+  #rejectWithoutLease(stream: ClientStream, sink: AnswerSink): void {
     if (stream.pinned === null) {
       sink.notOwner();
       return;
@@ -229,7 +233,7 @@
     sink.fail(transactionLost('the daemon lost its lease on the database'), 'E');
   }
 
-  #lowestLagMs(): number {
+  #minReplicaStalenessMs(): number {
     const { members, primary } = this.options.monitor.describe();
     const lags = members.filter((member) => member !== primary).map(({ stalenessMs }) => stalenessMs);
     const lowest = Math.min(...lags);
@@ -242,21 +246,21 @@
         execution.sink.notOwner();
         return;
       }
-      if (this.#isGivenUp(execution)) return;
-      const pinned = await this.#access.obtain(execution);
+      if (this.#refuseIfCanceledOrExpired(execution)) return;
+      const pinned = await this.#connectionSelector.selectConnection(execution);
       if (pinned === 'refused') return;
       if (pinned === null) continue;
       if (!execution.isAwaited()) {
         pinned.pool.release(pinned.connection);
-        refuse(this.#context, execution.sink, execution.stream, GIVEN_UP_BY_SENDER);
+        refuse(this.#context, execution.sink, execution.stream, SENDER_TIMED_OUT);
         return;
       }
       if ((await this.#runner.attempt(execution, pinned)) === 'settled') return;
     }
   }
 
-  /** Refuses the request if it was canceled or its deadline has passed; nothing of it has run. */
-  #isGivenUp(execution: Execution): boolean {
+  /** Refuses the request if it was canceled or its deadline has passed; no part of it has run. */
+  #refuseIfCanceledOrExpired(execution: Execution): boolean {
     const { stream, sink } = execution;
     if (stream.cancelSignal.isCanceled) {
       refuse(this.#context, sink, stream, {
@@ -280,20 +284,20 @@
     if (!execution.isAwaited()) {
       stream.unpin('destroy');
       stream.status = 'I';
-      sink.fail(transactionLost(GIVEN_UP_BY_SENDER.message), 'E');
+      sink.fail(transactionLost(SENDER_TIMED_OUT.message), 'E');
       return;
     }
     pinned.pool.beginExecution(pinned.connection);
     await this.#runner.attempt(execution, pinned);
   }
 
-  #endStream(stream: Stream): void {
+  #removeStream(stream: ClientStream): void {
     stream.unpin('destroy');
     this.#streams.delete(stream.streamId);
   }
 }
 
-function canRunOnce(stream: Stream, request: StatementRequest): boolean {
+function supportsOnceKey(stream: ClientStream, request: StatementRequest): boolean {
   const isOutsideTransaction = stream.pinned === null && !request.controlsTransaction;
   return isOutsideTransaction && request.kind === 'write' && request.terminator !== 'flush';
 }
--- a/src/engine/execution.ts
+++ b/src/engine/execution.ts
@@ -1,5 +1,6 @@
 /**
- * A request under way at the owner of its database, and what its steps share.
+ * State of a request that the owner of its database is executing, and the context shared by all requests for
+ * that database.
  *
  * @packageDocumentation
  */
@@ -10,65 +11,72 @@
 import type { SessionPositions } from '../session/session-positions.js';
 import { RequestError, SqlState, type SqlStateCode } from '../verdict/verdict.js';
 import type { AnswerSink, StatementRequest } from './statement-request.js';
-import type { Stream } from './stream.js';
+import type { ClientStream } from './client-stream.js';
 
-/** A request under way. */
+/** A request that is being executed. */
 export interface Execution {
-  readonly stream: Stream;
+  readonly stream: ClientStream;
   readonly request: StatementRequest;
   readonly decision: PolicyDecision;
-  /** Monotonic time after which an answer is of no use, in milliseconds. */
+  /** Monotonic deadline of the request, in milliseconds. */
   readonly deadlineMs: number;
   sink: AnswerSink;
-  /** False once whoever sent the request may have given up on it: it must not be begun any more. */
+  /** False once the sender may have stopped waiting for the request; it must not be started after that. */
   readonly isAwaited: () => boolean;
-  /** Members on which an attempt has just failed. */
+  /** Members excluded from selection because a recent attempt on them failed. */
   readonly excludedMemberIds: Set<string>;
   attempts: number;
 }
 
-/** What the steps of all requests for one database share; times in milliseconds. */
+/** Context shared by all requests for one database; times in milliseconds. */
 export interface EngineContext {
   readonly database: string;
   readonly monitor: GroupMonitor;
   readonly metrics: EngineMetrics;
   readonly positions: SessionPositions;
   readonly retryBudget: RetryBudget;
-  /** Longest wait for the evidence that a commit may be acknowledged. */
+  /** Maximum wait for a majority to confirm a commit. */
   readonly evidenceTimeoutMs: number;
-  /** Most requests that wait for a member that can serve them, for instance during an election. */
+  /** Maximum number of requests that wait for an available member, for instance during an election. */
   readonly maxWaiting: number;
   /** Random numbers in 0..1, for jitter. */
   readonly random: () => number;
   readonly isStopped: () => boolean;
 }
 
-/** Backoff between attempts at members. */
+/** Backoff between attempts to execute a request on a member. */
 export const ATTEMPT_BACKOFF = { initialDelayMs: 5, maxDelayMs: 200 };
 
-/** Why a request is refused. */
+/** Error returned for a refused request. */
 export interface Refusal {
   readonly sqlState: SqlStateCode;
   readonly message: string;
   readonly retryAfterMs: number | null;
-  /** Label of the metric; the SQLSTATE if not given. */
+  /** Value of the metric's `reason` label; defaults to the SQLSTATE. */
   readonly reason?: string;
 }
 
-/** Refuses a request of which nothing has run. */
-export function refuse(context: EngineContext, sink: AnswerSink, stream: Stream, refusal: Refusal): void {
+/** Refuses a request before any part of it has run. */
+export function refuse(
+  context: EngineContext,
+  sink: AnswerSink,
+  stream: ClientStream,
+  refusal: Refusal,
+): void {
   const { sqlState, message, retryAfterMs, reason = sqlState } = refusal;
   context.metrics.refusals.inc({ database: context.database, reason });
   sink.fail(new RequestError(sqlState, 'not_run', message, retryAfterMs), stream.status);
 }
 
-/** The open transaction is gone with its connection: nothing of it has run. */
+/**
+ * Error for an open transaction whose connection was lost: the member rolls it back, so nothing of it has
+ * run.
+ */
 export function transactionLost(message: string): RequestError {
   const text = `${message}; the transaction is rolled back`;
   return new RequestError(SqlState.connectionFailure, 'not_run', text, 0);
 }
 
-/** Waits. */
 export function delay(durationMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
--- a/src/engine/request-runner.ts
+++ b/src/engine/request-runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs requests on member connections and says what became of them.
+ * Runs requests on member connections and reports their outcome.
  *
  * @packageDocumentation
  */
@@ -11,14 +11,14 @@
 import { doubtfulSink } from './doubtful-sink.js';
 import { ATTEMPT_BACKOFF, delay, type EngineContext, type Execution } from './execution.js';
 import type { StatementRequest } from './statement-request.js';
-import type { PinnedConnection, Stream } from './stream.js';
+import type { PinnedConnection, ClientStream } from './client-stream.js';
 
-/** Whether an attempt settled the request, or another may be made. */
-export type AttemptVerdict = 'settled' | 'again';
+/** `settled` when an attempt has ended the request, `again` when the caller may make another attempt. */
+export type AttemptResult = 'settled' | 'again';
 
 const READ_ONLY_SQL_STATE = '25006';
 
-/** Runs the requests of one database. */
+/** Runs the requests for one database. */
 export class RequestRunner {
   readonly #acknowledger: CommitAcknowledger;
 
@@ -26,8 +26,8 @@
     this.#acknowledger = new CommitAcknowledger(context);
   }
 
-  /** Makes one attempt. */
-  async attempt(execution: Execution, pinned: PinnedConnection): Promise<AttemptVerdict> {
+  /** Runs the request once on the given connection. */
+  async attempt(execution: Execution, pinned: PinnedConnection): Promise<AttemptResult> {
     const { stream, request, sink } = execution;
     const isInTransaction = stream.status !== 'I';
     const needsEvidence = this.#needsEvidence(stream, request);
@@ -40,13 +40,13 @@
     );
     const outcome = await this.#runWithDeadline(execution, pinned, needsEvidence);
     if (request.kind === 'write') stream.hasWritten = true;
-    if (request.leavesSessionState) stream.isDirty = true;
+    if (request.leavesSessionState) stream.hasSessionState = true;
     if (outcome === 'expired') {
-      this.#handleExpired(execution, isInTransaction);
+      this.#handleDeadlineExpired(execution, isInTransaction);
       return 'settled';
     }
     if (outcome.kind === 'lost') return this.#handleLost(execution, isInTransaction, outcome.hasSentData);
-    if (this.#mustChooseAgain(execution, outcome, needsEvidence, isInTransaction)) {
+    if (this.#isRejectedByFormerPrimary(execution, outcome, needsEvidence, isInTransaction)) {
       stream.unpin('release');
       await delay(backoffDelayMs(ATTEMPT_BACKOFF, execution.attempts, this.context.random()));
       return 'again';
@@ -55,13 +55,16 @@
       await this.#acknowledger.acknowledge(execution, pinned, outcome);
       return 'settled';
     }
-    this.#finish(execution, outcome);
+    this.#sendResponse(execution, outcome);
     sink.end(outcome.status);
     return 'settled';
   }
 
-  /** A statement outside a transaction, or one that ends it, commits. */
-  #needsEvidence(stream: Stream, request: StatementRequest): boolean {
+  /**
+   * True when the request may commit changes, so that its response is withheld until the commit is confirmed.
+   * A statement outside a transaction commits, as does one that ends a transaction.
+   */
+  #needsEvidence(stream: ClientStream, request: StatementRequest): boolean {
     if (request.terminator === 'flush') return false;
     const mayCommitChanges = request.kind === 'write' || stream.hasWritten || request.onceKey !== null;
     return (
@@ -76,8 +79,8 @@
   ): Promise<AttemptOutcome | 'expired'> {
     const { sink, request } = execution;
     const attempt = runAttempt(pinned.connection, request, {
-      holdsAnswer: needsEvidence,
-      asksStatus: needsEvidence,
+      buffersResponse: needsEvidence,
+      queriesStatus: needsEvidence,
       onData: (frames) => sink.data(frames),
     });
     let timer: NodeJS.Timeout | undefined;
@@ -90,21 +93,24 @@
     return outcome;
   }
 
-  /** A write that a former primary refused for its role has not run, and nobody has seen its answer. */
-  #mustChooseAgain(
+  /**
+   * True when a former primary rejected a write as read-only. The write has not run and its response is still
+   * buffered, so it can be retried on another member.
+   */
+  #isRejectedByFormerPrimary(
     execution: Execution,
     outcome: CompleteOutcome,
-    wasHeld: boolean,
+    wasBuffered: boolean,
     isInTransaction: boolean,
   ): boolean {
     const { controlsTransaction, continues } = execution.request;
-    if (isInTransaction || !wasHeld || controlsTransaction || continues !== 'nothing') return false;
+    if (isInTransaction || !wasBuffered || controlsTransaction || continues !== 'nothing') return false;
     return outcome.sqlState === READ_ONLY_SQL_STATE || outcome.onceSqlState === READ_ONLY_SQL_STATE;
   }
 
-  #finish(execution: Execution, outcome: CompleteOutcome): void {
+  #sendResponse(execution: Execution, outcome: CompleteOutcome): void {
     const { stream, sink, request } = execution;
-    for (const frames of outcome.heldAnswer) sink.data(frames);
+    for (const frames of outcome.bufferedResponse) sink.data(frames);
     if (request.terminator === 'flush') {
       stream.pinned?.pool.endExecution(stream.pinned.connection);
       return;
@@ -114,19 +120,19 @@
     else stream.pinned?.pool.endExecution(stream.pinned.connection);
   }
 
-  #handleLost(execution: Execution, isInTransaction: boolean, hasSentData: boolean): AttemptVerdict {
+  #handleLost(execution: Execution, isInTransaction: boolean, hasSentData: boolean): AttemptResult {
     const { stream, request, sink } = execution;
     const memberId = stream.pinned?.memberId;
     stream.unpin('destroy');
     stream.status = 'I';
-    const judgement = this.#judge(
+    const judgement = this.#judgeLoss(
       execution,
       isInTransaction,
       hasSentData,
       'the connection to the member was lost',
     );
-    const isOver = stream.cancelSignal.isCanceled || this.context.isStopped();
-    if (judgement.kind === 'mayRetry' && !isOver && this.context.retryBudget.tryRetry()) {
+    const isCanceledOrStopped = stream.cancelSignal.isCanceled || this.context.isStopped();
+    if (judgement.kind === 'mayRetry' && !isCanceledOrStopped && this.context.retryBudget.tryRetry()) {
       this.context.metrics.retries.inc({ database: this.context.database });
       execution.sink = doubtfulSink(execution.sink);
       if (memberId !== undefined && request.kind === 'read') execution.excludedMemberIds.add(memberId);
@@ -137,16 +143,16 @@
     return 'settled';
   }
 
-  #handleExpired(execution: Execution, isInTransaction: boolean): void {
+  #handleDeadlineExpired(execution: Execution, isInTransaction: boolean): void {
     const { stream, sink } = execution;
     stream.unpin('destroy');
     stream.status = 'I';
     const message = 'the request ran past its deadline';
-    const judgement = this.#judge(execution, isInTransaction, true, message, SqlState.queryCanceled);
+    const judgement = this.#judgeLoss(execution, isInTransaction, true, message, SqlState.queryCanceled);
     if (judgement.kind === 'report') sink.fail(judgement.report.error, judgement.report.status);
   }
 
-  #judge(
+  #judgeLoss(
     { request, decision }: Execution,
     isInTransaction: boolean,
     hasSentData: boolean,
