--- a/src/cluster/daemon-record.ts
+++ b/src/cluster/daemon-record.ts
@@ -4,27 +4,35 @@
  * @packageDocumentation
  */
 import * as z from 'zod/mini';
-import { amount, port, readJson, text, unreadable, word, type Reading } from '../coordination/stored-json.js';
+import {
+  nonNegativeNumberSchema,
+  tcpPortSchema,
+  readJson,
+  nonEmptyStringSchema,
+  unreadable,
+  singleWordSchema,
+  type ReadResult,
+} from '../coordination/stored-json.js';
 
 const schema = z.object({
-  name: word,
+  name: singleWordSchema,
   /** New with each start of the process. */
-  life: text,
-  host: word,
+  life: nonEmptyStringSchema,
+  host: singleWordSchema,
   /** Port on which it takes orders of the holder of the promotion duty. */
-  port,
+  port: tcpPortSchema,
   /** Port on which it lends connections to members. */
-  gatewayPort: port,
-  zone: text,
+  gatewayPort: tcpPortSchema,
+  zone: nonEmptyStringSchema,
   /** Processors that it has, in cores of the ordinary speed. */
-  capacity: amount,
+  capacity: nonNegativeNumberSchema,
 });
 
 /** Where another daemon is reached, and what it can carry. */
 export type DaemonRecord = Readonly<z.infer<typeof schema>>;
 
 /** Reads the record of a daemon that a key names: nobody speaks for another. */
-export function readDaemonRecord(name: string, value: Buffer): Reading<DaemonRecord> {
+export function readDaemonRecord(name: string, value: Buffer): ReadResult<DaemonRecord> {
   const reading = readJson(value, schema);
   if (reading.kind === 'read' && reading.value.name !== name)
     return unreadable('shape', 'name: that of the key expected');
--- a/src/cluster/order-delivery.test.ts
+++ b/src/cluster/order-delivery.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import {
-  EVIDENCE_MS,
+  EVIDENCE_VALIDITY_MS,
   LeadershipEvidence,
   REGISTRATION_SETTLE_MS,
 } from '../leadership/leadership-evidence.js';
@@ -116,11 +116,11 @@
     registration.firstLook(new Map(), 0);
     registration.registered(readAtMs + 1);
     const evidence = new LeadershipEvidence(() => registration.countsFromMs);
-    evidence.believe({ memberId: 'a', term: 3 });
+    evidence.observeLeader({ memberId: 'a', term: 3 });
     const lastPauseMs = readAtMs + REGISTRATION_SETTLE_MS;
     for (let askedAtMs = readAtMs; askedAtMs <= lastPauseMs; askedAtMs += 10)
-      evidence.witness(3, 0, askedAtMs);
+      evidence.recordWitness(3, 0, askedAtMs);
     assert.equal(evidence.current(lastPauseMs), null);
-    assert.ok(evidence.validUntilMs < lastPauseMs + EVIDENCE_MS);
+    assert.ok(evidence.validUntilMs < lastPauseMs + EVIDENCE_VALIDITY_MS);
   });
 });
--- a/src/cluster/peer-mesh.ts
+++ b/src/cluster/peer-mesh.ts
@@ -8,7 +8,7 @@
 import { delay } from '../common/signal.js';
 import { absenceOf, DaemonEnds, END_DIAL_MS, type Absence, type ToldAbsence } from './daemon-ends.js';
 import type { DaemonRecord } from './daemon-record.js';
-import { EvidenceReader, type EvidenceAnswer, type SharedEvidence } from '../leadership/evidence-exchange.js';
+import { EvidenceReader, type EvidenceReply, type SharedEvidence } from '../leadership/evidence-exchange.js';
 import { MessageChannel } from '../peer/message-channel.js';
 import type { LastLed } from '../leadership/last-led.js';
 import type { OpenCall } from '../leadership/open-calls.js';
@@ -92,7 +92,7 @@
 
 type MeshMessage =
   | { readonly type: 'ask_evidence'; readonly id: number; readonly knownVersion: number }
-  | { readonly type: 'evidence'; readonly id: number; readonly answer: EvidenceAnswer }
+  | { readonly type: 'evidence'; readonly id: number; readonly answer: EvidenceReply }
   | { readonly type: 'order'; readonly id: number; readonly order: HolderOrder }
   | { readonly type: 'answer'; readonly id: number; readonly answer: OrderAnswer }
   | { readonly type: 'suspicion'; readonly suspicion: Suspicion };
@@ -102,7 +102,7 @@
   order(order: HolderOrder): OrderAnswer;
   suspicion(suspicion: Suspicion): void;
   /** The evidence that this daemon has gathered itself, for one who has been sent a version of the leaders. */
-  ownEvidence(knownVersion: number): EvidenceAnswer;
+  ownEvidence(knownVersion: number): EvidenceReply;
   /** The process of a daemon that this one gives orders to has just been seen to have ended. */
   daemonEnded(name: string): void;
   /** A daemon that gave orders to this one has ended its connection. */
--- a/src/coordination/change-feed.test.ts
+++ b/src/coordination/change-feed.test.ts
@@ -9,13 +9,13 @@
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { DelegatedFeed } from './change-feed.js';
 import { ChangeLog, MAX_RELAYED_BYTES } from './change-log.js';
-import { ChangeRelay, MAX_STORE_AGE_MS, type PassedChanges } from './change-relay.js';
+import { ChangeRelay, MAX_STORE_AGE_MS, type RelayResponse } from './change-relay.js';
 import {
   StoreError,
   type CoordinationStore,
   type StoredItem,
   type StoreEvent,
-  type WatchAnswer,
+  type WatchResponse,
 } from './coordination-store.js';
 import { applyDelta, diffValues } from './value-delta.js';
 import { at } from '../../test/support/revisions.js';
@@ -84,8 +84,8 @@
     assert.equal(log.since(at(4)), null);
     assert.deepEqual(revisionNumbers(log.since({ era: 1, number: 5 })), []);
     const relay = new ChangeRelay(log, () => 0);
-    assert.equal((await relay.ask(at(11), 1000)).kind, 'forgotten');
-    assert.equal((await relay.ask({ era: 2, number: 1 }, 1000)).kind, 'unavailable');
+    assert.equal((await relay.changesAfter(at(11), 1000)).kind, 'forgotten');
+    assert.equal((await relay.changesAfter({ era: 2, number: 1 }, 1000)).kind, 'unavailable');
   });
 
   test('relays only the key of a large value', () => {
@@ -109,25 +109,25 @@
     const log = new ChangeLog();
     const relay = new ChangeRelay(log, () => 0);
     log.restart(at(5), 0);
-    const waiting = relay.ask(at(5), 1000);
+    const waiting = relay.changesAfter(at(5), 1000);
     log.append(at(5), [put('a', 6)], at(6), 0);
     const answer = await waiting;
     assert.ok(answer.kind === 'changes' && answer.changes.length === 1);
-    assert.deepEqual(await relay.ask(at(5), 1000), answer);
+    assert.deepEqual(await relay.changesAfter(at(5), 1000), answer);
   });
 
   test('is unavailable without a recent response of the store, also for waiting requests', async () => {
     const log = new ChangeLog();
     let now = 0;
     const relay = new ChangeRelay(log, () => now);
-    assert.equal((await relay.ask(at(0), 1000)).kind, 'unavailable');
+    assert.equal((await relay.changesAfter(at(0), 1000)).kind, 'unavailable');
     log.restart(at(5), 0);
-    const waiting = relay.ask(at(5), 60_000);
+    const waiting = relay.changesAfter(at(5), 60_000);
     log.suspend();
     assert.equal((await waiting).kind, 'unavailable');
     log.restart(at(5), 0);
     now = MAX_STORE_AGE_MS + 1;
-    assert.equal((await relay.ask(at(5), 1000)).kind, 'unavailable');
+    assert.equal((await relay.changesAfter(at(5), 1000)).kind, 'unavailable');
   });
 });
 
@@ -135,7 +135,7 @@
   readonly feed: DelegatedFeed;
   readonly asked: string[];
   state: { now: number; isDirect: boolean; delegates: readonly DaemonRecord[] | null };
-  answers: Map<string, PassedChanges | null>;
+  answers: Map<string, RelayResponse | null>;
 }
 
 function feedFixture(
@@ -144,10 +144,10 @@
 ): FeedFixture {
   const asked: string[] = [];
   const state = { now: 0, isDirect: false, delegates: [daemon('d1'), daemon('d2'), daemon('far', 'b')] };
-  const answers = new Map<string, PassedChanges | null>();
+  const answers = new Map<string, RelayResponse | null>();
   const store = {
     read,
-    watch: (_prefix: string, _after: Revision, waitMs: number): Promise<WatchAnswer> => {
+    watch: (_prefix: string, _after: Revision, waitMs: number): Promise<WatchResponse> => {
       asked.push(`store ${waitMs}`);
       return Promise.resolve({ kind: 'events', events: [], revision: at(1) });
     },
@@ -157,9 +157,9 @@
     ownName: 'me',
     zone: 'a',
     delegates: () => state.delegates,
-    mustBeDirect: () => state.isDirect,
-    held: (key) => held.get(key) ?? null,
-    ask: ({ name }) => {
+    mustWatchStore: () => state.isDirect,
+    localItem: (key) => held.get(key) ?? null,
+    askDelegate: ({ name }) => {
       asked.push(name);
       return Promise.resolve(answers.get(name) ?? null);
     },
@@ -170,7 +170,7 @@
   return { feed, asked, state, answers };
 }
 
-function changes(ageMs: number, list: readonly StoreEvent[] = []): PassedChanges {
+function changes(ageMs: number, list: readonly StoreEvent[] = []): RelayResponse {
   const log = new ChangeLog();
   log.restart(at(0), 0);
   log.append(at(0), list, at(9), 0);
@@ -201,7 +201,7 @@
     ).join();
   }
 
-  function relayedChanges(): PassedChanges {
+  function relayedChanges(): RelayResponse {
     const log = new ChangeLog();
     log.restart(at(4), 0);
     log.append(at(4), [after, later], at(8), 0, [before, after]);
--- a/src/coordination/change-feed.ts
+++ b/src/coordination/change-feed.ts
@@ -10,11 +10,11 @@
  * @packageDocumentation
  */
 import type { DaemonRecord } from '../cluster/daemon-record.js';
-import { type PassedChanges, MAX_STORE_AGE_MS } from './change-relay.js';
+import { type RelayResponse, MAX_STORE_AGE_MS } from './change-relay.js';
 import type { RelayedChange } from './change-log.js';
 import { isSameRevision, type Revision } from './revision.js';
 import { applyDelta } from './value-delta.js';
-import type { CoordinationStore, StoredItem, StoreEvent, WatchAnswer } from './coordination-store.js';
+import type { CoordinationStore, StoredItem, StoreEvent, WatchResponse } from './coordination-store.js';
 
 /**
  * Time for which a delegate may hold a request open, and additional time allowed for its response, in
@@ -30,10 +30,10 @@
 /**
  * Longest additional delay of a change that arrives through a delegate instead of the store, in milliseconds.
  */
-export const WORST_LAG_MS = MAX_STORE_AGE_MS + DELEGATE_WAIT_MS + DELEGATE_TIMEOUT_MARGIN_MS;
+export const MAX_RELAY_LAG_MS = MAX_STORE_AGE_MS + DELEGATE_WAIT_MS + DELEGATE_TIMEOUT_MARGIN_MS;
 
 /** Response of a change feed. `isPassedOn`: it came from a delegate and not from the store. */
-export type FeedAnswer = WatchAnswer & { readonly isPassedOn: boolean };
+export type FeedResponse = WatchResponse & { readonly isPassedOn: boolean };
 
 /** Reads the store and watches its changes. */
 export interface ChangeFeed {
@@ -42,7 +42,7 @@
    * Changes of all keys after a revision; if there are none, waits for one for at most `waitMs` milliseconds.
    * Rejects with `StoreError`.
    */
-  watch(afterRevision: Revision, waitMs: number): Promise<FeedAnswer>;
+  watch(afterRevision: Revision, waitMs: number): Promise<FeedResponse>;
 }
 
 export interface ChangeFeedOptions {
@@ -52,16 +52,16 @@
   /** The daemons that watch the store for the others; `null` if all daemons watch it. */
   delegates(): readonly DaemonRecord[] | null;
   /** True if this daemon has to watch the store itself, whoever the delegates are. */
-  mustBeDirect(): boolean;
+  mustWatchStore(): boolean;
   /** An item of this daemon's local copy, or `null`. */
-  held(key: string): StoredItem | null;
+  localItem(key: string): StoredItem | null;
   /** Requests changes from a delegate; `null` if it does not answer in time. */
-  ask(
+  askDelegate(
     record: DaemonRecord,
     afterRevision: Revision,
     waitMs: number,
     timeoutMs: number,
-  ): Promise<PassedChanges | null>;
+  ): Promise<RelayResponse | null>;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
   random(): number;
@@ -79,7 +79,7 @@
     return this.options.store.list(prefix);
   }
 
-  async watch(afterRevision: Revision, waitMs: number): Promise<FeedAnswer> {
+  async watch(afterRevision: Revision, waitMs: number): Promise<FeedResponse> {
     const delegates = this.options.delegates();
     const source = this.#chooseSource(delegates);
     this.#setSource(source);
@@ -102,7 +102,7 @@
    */
   #chooseSource(delegates: readonly DaemonRecord[] | null): DaemonRecord | null {
     const { options } = this;
-    if (delegates === null || options.mustBeDirect()) return null;
+    if (delegates === null || options.mustWatchStore()) return null;
     if (delegates.some(({ name }) => name === options.ownName)) return null;
     const now = options.now();
     const usable = delegates.filter(
@@ -124,8 +124,13 @@
     source: DaemonRecord,
     afterRevision: Revision,
     waitMs: number,
-  ): Promise<FeedAnswer | null> {
-    const answer = await this.options.ask(source, afterRevision, waitMs, waitMs + DELEGATE_TIMEOUT_MARGIN_MS);
+  ): Promise<FeedResponse | null> {
+    const answer = await this.options.askDelegate(
+      source,
+      afterRevision,
+      waitMs,
+      waitMs + DELEGATE_TIMEOUT_MARGIN_MS,
+    );
     if (answer === null) return null;
     switch (answer.kind) {
       case 'unavailable':
@@ -145,7 +150,11 @@
     const events: StoreEvent[] = [];
     const latest = new Map<string, StoreEvent>();
     for (const change of changes) {
-      const event = await this.#toEvent(change, era, latest.get(change.key) ?? this.options.held(change.key));
+      const event = await this.#toEvent(
+        change,
+        era,
+        latest.get(change.key) ?? this.options.localItem(change.key),
+      );
       latest.set(event.key, event);
       events.push(event);
     }
--- a/src/coordination/change-relay.ts
+++ b/src/coordination/change-relay.ts
@@ -11,7 +11,7 @@
  * changes. `unavailable`: this daemon has no recent response of the store, or is in an earlier era than the
  * requesting daemon.
  */
-export type PassedChanges =
+export type RelayResponse =
   | {
       readonly kind: 'changes';
       readonly changes: readonly RelayedChange[];
@@ -35,14 +35,14 @@
   ) {}
 
   /** The changes after a revision; if there are none, waits for one for at most `waitMs` milliseconds. */
-  async ask(afterRevision: Revision, waitMs: number): Promise<PassedChanges> {
+  async changesAfter(afterRevision: Revision, waitMs: number): Promise<RelayResponse> {
     const immediate = this.#answer(afterRevision);
     if (immediate.kind !== 'changes' || immediate.changes.length > 0) return immediate;
     await this.log.changed.wait(Math.min(waitMs, MAX_WAIT_MS));
     return this.#answer(afterRevision);
   }
 
-  #answer(afterRevision: Revision): PassedChanges {
+  #answer(afterRevision: Revision): RelayResponse {
     const ageMs = this.log.ageMs(this.now());
     if (ageMs > MAX_STORE_AGE_MS) return { kind: 'unavailable' };
     // The requesting daemon knows a later era, of which this log has no changes.
--- a/src/coordination/coordination-store.ts
+++ b/src/coordination/coordination-store.ts
@@ -25,7 +25,7 @@
 }
 
 /** Response of a watch: changes, or `compacted` if the store no longer has them or is in a later era. */
-export type WatchAnswer =
+export type WatchResponse =
   | { readonly kind: 'events'; readonly events: readonly StoreEvent[]; readonly revision: Revision }
   | { readonly kind: 'compacted' };
 
@@ -42,7 +42,7 @@
 }
 
 /** Outcome of a transaction. */
-export type TransactionAnswer =
+export type TransactionResult =
   | { readonly kind: 'done'; readonly revision: Revision }
   | { readonly kind: 'conflict' }
   | { readonly kind: 'no_lease' };
@@ -88,10 +88,10 @@
    * Changes under a prefix after a revision; if there are none, waits for one for at most `waitMs`
    * milliseconds.
    */
-  watch(prefix: string, afterRevision: Revision, waitMs: number): Promise<WatchAnswer>;
-  transact(transaction: StoreTransaction): Promise<TransactionAnswer>;
+  watch(prefix: string, afterRevision: Revision, waitMs: number): Promise<WatchResponse>;
+  transact(transaction: StoreTransaction): Promise<TransactionResult>;
   grantLease(ttlMs: number): Promise<GrantedLease>;
   /** Renews a lease; false if it has expired. */
-  keepLease(leaseId: number): Promise<boolean>;
-  endLease(leaseId: number): Promise<void>;
+  renewLease(leaseId: number): Promise<boolean>;
+  revokeLease(leaseId: number): Promise<void>;
 }
--- a/src/coordination/daemon-register.ts
+++ b/src/coordination/daemon-register.ts
@@ -6,8 +6,8 @@
  */
 import { readDaemonRecord, type DaemonRecord } from '../cluster/daemon-record.js';
 import { type CoordinationStore, StoreError, type StoredItem } from './coordination-store.js';
-import { untoldFaults, type EntryFaults, type EntryKind } from './entry-faults.js';
-import { readName, type Reading } from './stored-json.js';
+import { discardedFaults, type EntryFaults, type EntryKind } from './entry-faults.js';
+import { readName, type ReadResult } from './stored-json.js';
 
 /** Keys in the store. */
 export const COORDINATION_PREFIX = 'sorrelladder/';
@@ -26,7 +26,7 @@
 /** Reads the daemons from the items of the store. Unreadable entries are ignored and reported to `faults`. */
 export function readDaemons(
   items: ReadonlyMap<string, StoredItem>,
-  faults = untoldFaults(),
+  faults = discardedFaults(),
 ): RegisteredDaemons {
   const registered = new Map<string, DaemonRecord>();
   const leased = new Set<string>();
@@ -45,10 +45,10 @@
 }
 
 /** Results by item: the records of all daemons are read again with each change of any of them. */
-const parsedRegistrations = new WeakMap<StoredItem, Reading<DaemonRecord>>();
+const parsedRegistrations = new WeakMap<StoredItem, ReadResult<DaemonRecord>>();
 
 /** Reads the record of a daemon; each item is parsed once. */
-export function readRegistration(item: StoredItem): Reading<DaemonRecord> {
+export function readRegistration(item: StoredItem): ReadResult<DaemonRecord> {
   const cached = parsedRegistrations.get(item);
   if (cached !== undefined) return cached;
   const name = readName(item.key, DAEMON_PREFIX);
@@ -61,14 +61,14 @@
 export function valueOrReport<T>(
   kind: EntryKind,
   item: StoredItem,
-  reading: Reading<T>,
+  reading: ReadResult<T>,
   faults: EntryFaults,
 ): T | null {
   if (reading.kind === 'read') {
-    faults.good(kind, item.key);
+    faults.reportReadable(kind, item.key);
     return reading.value;
   }
-  faults.leftOut({ kind, key: item.key, revision: item.revision }, reading.fault);
+  faults.reportUnreadable({ kind, key: item.key, revision: item.revision }, reading.fault);
   return null;
 }
 
--- a/src/coordination/duty-record.ts
+++ b/src/coordination/duty-record.ts
@@ -14,7 +14,15 @@
 import type { StoredItem } from './coordination-store.js';
 import { isSameRevision, NO_REVISION, type Revision } from './revision.js';
 import type { LeaseTimes } from './store-lease.js';
-import { amount, count, readJson, readShape, text, unreadable, type Reading } from './stored-json.js';
+import {
+  nonNegativeNumberSchema,
+  nonNegativeIntSchema,
+  readJson,
+  readShape,
+  nonEmptyStringSchema,
+  unreadable,
+  type ReadResult,
+} from './stored-json.js';
 
 /** Times of the lease to which the record of the duty is attached. */
 export const DUTY_LEASE: LeaseTimes = { lengthMs: 1500, safetyMs: 200, renewalMs: 600 };
@@ -33,47 +41,47 @@
  * Era of the store in which the record was written. A record of an earlier era was restored from a backup and
  * is not current.
  */
-const eraSchema = z._default(count, 0);
+const eraSchema = z._default(nonNegativeIntSchema, 0);
 
 const heldSchema = z.object({
   state: z.literal('held'),
-  holder: text,
-  life: text,
-  fence: count,
+  holder: nonEmptyStringSchema,
+  life: nonEmptyStringSchema,
+  fence: nonNegativeIntSchema,
   /**
    * Lease to which the record is attached. A record of an earlier lease of the same daemon does not make it
    * the holder.
    */
-  leaseId: count,
+  leaseId: nonNegativeIntSchema,
   /**
    * Time from the writing of the record until the holder may act, in milliseconds; an earlier holder may act
    * until then.
    */
-  actsInMs: amount,
+  actsInMs: nonNegativeNumberSchema,
   era: eraSchema,
 });
 const releasedSchema = z.object({
   state: z.literal('released'),
-  fence: count,
+  fence: nonNegativeIntSchema,
   /**
    * Time from the writing of the record until a new holder may act, in milliseconds: the holder that released
    * the duty may still have been waiting for an earlier one.
    */
-  actsInMs: z._default(amount, 0),
+  actsInMs: z._default(nonNegativeNumberSchema, 0),
   era: eraSchema,
 });
 const recordSchema = z.discriminatedUnion('state', [heldSchema, releasedSchema]);
 
 export type DutyRecord = Readonly<z.infer<typeof heldSchema>> | Readonly<z.infer<typeof releasedSchema>>;
 
-export function readDutyRecord(value: Buffer): Reading<DutyRecord> {
+export function readDutyRecord(value: Buffer): ReadResult<DutyRecord> {
   return readJson(value, recordSchema);
 }
 
 /** Reads a fence, an integer in decimal digits. */
-export function readFence(value: Buffer): Reading<number> {
+export function readFence(value: Buffer): ReadResult<number> {
   const digits = value.length <= MAX_FENCE_DIGITS ? value.toString('latin1') : '';
-  const reading = readShape(/^\d+$/.test(digits) ? Number(digits) : null, count);
+  const reading = readShape(/^\d+$/.test(digits) ? Number(digits) : null, nonNegativeIntSchema);
   return reading.kind === 'read' ? reading : unreadable('shape', 'whole number expected');
 }
 
@@ -119,7 +127,7 @@
 }
 
 /** The state of the duty in a daemon's local copy of the store. */
-export interface DutySight {
+export interface DutyObservation {
   /** Era of the store. */
   readonly era: number;
   /** `null` if there is none that can be read. */
@@ -131,7 +139,7 @@
 }
 
 /** The record if it was written in the current era, otherwise `null`. */
-export function presentRecord({ era, record }: Pick<DutySight, 'era' | 'record'>): DutyRecord | null {
+export function currentRecord({ era, record }: Pick<DutyObservation, 'era' | 'record'>): DutyRecord | null {
   return record?.era === era ? record : null;
 }
 
@@ -169,9 +177,9 @@
   }
 
   /** Records the current state of the store. */
-  observe(observation: DutySight, nowMs: number): void {
+  observe(observation: DutyObservation, nowMs: number): void {
     if (this.#era !== observation.era) this.#beginEra(observation, nowMs);
-    const record = presentRecord(observation);
+    const record = currentRecord(observation);
     const isNextFence = observation.fence !== this.#fence;
     this.#fence = observation.fence;
     if (record === null) {
@@ -193,7 +201,7 @@
    * First observation of an era. Without a record of this era, an unknown holder may still act: the last one
    * of the earlier era, whose record the backup may lack, or one that this daemon never observed.
    */
-  #beginEra(observation: DutySight, nowMs: number): void {
+  #beginEra(observation: DutyObservation, nowMs: number): void {
     const wasNeverHeld = this.#era === null && observation.record === null && observation.fence === 0;
     this.#era = observation.era;
     this.#fence = observation.fence;
--- a/src/coordination/duty.ts
+++ b/src/coordination/duty.ts
@@ -17,11 +17,11 @@
 import {
   DutyHistory,
   type DutyHolder,
-  type DutySight,
+  type DutyObservation,
   formatDutyRecord,
   DUTY_LEASE,
   nextFence,
-  presentRecord,
+  currentRecord,
   readDutyRecord,
   readFence,
   type DutyRecord,
@@ -33,7 +33,7 @@
   LIVE_PREFIX,
   readRegistration,
 } from './daemon-register.js';
-import { untoldFaults } from './entry-faults.js';
+import { discardedFaults } from './entry-faults.js';
 import { type CoordinationStore, StoreError, type StoredItem } from './coordination-store.js';
 import { isLater, isSameRevision, laterOf, NO_REVISION, type Revision } from './revision.js';
 import { StoreLease, type LeaseTimes } from './store-lease.js';
@@ -126,11 +126,11 @@
      */
     private readonly acquisitionDelayMs: () => number = () => 0,
     /** Reports records that cannot be read. */
-    private readonly faults = untoldFaults(),
+    private readonly faults = discardedFaults(),
   ) {
     this.#livenessLease = new StoreLease(store, LIVENESS_LEASE, now);
     this.#dutyLease = new StoreLease(store, DUTY_LEASE, now);
-    store.era.onRise(() => this.#onEraIncrease());
+    store.era.onIncrease(() => this.#onEraIncrease());
   }
 
   /**
@@ -160,12 +160,12 @@
    * True while the store may lack records of running daemons, because it was restored from a backup and they
    * may not have registered again.
    */
-  get isRegisterBehind(): boolean {
+  get isRegistryIncomplete(): boolean {
     return this.#history.sinceNewEraMs(this.now()) < REREGISTRATION_MS;
   }
 
   /** Requests the liveness lease ahead of {@link Duty.run}, which registers under it. */
-  prepare(): void {
+  requestLivenessLease(): void {
     this.#pendingGrant = this.#livenessLease.grant().catch(() => undefined);
   }
 
@@ -205,18 +205,18 @@
   }
 
   /** Records the duty as shown by the local copy; to be called before any decision that depends on it. */
-  look(): void {
+  observe(): void {
     if (this.#isCopyOfCurrentEra()) this.#history.observe(this.#observeCopy(), this.now());
   }
 
   /** To be called when the coordination keys have changed in the local copy. */
   async keysChanged(): Promise<void> {
     if (!this.#isCopyOfCurrentEra()) return;
-    this.look();
+    this.observe();
     const { items, revision } = this.localCopy();
     const observation = this.#observeCopy();
     if (isLater(this.#ownRevision, revision)) return;
-    const record = presentRecord(observation);
+    const record = currentRecord(observation);
     if (record !== null && this.#isOurs(record)) this.#becomeHolder(record.fence, observation.revision);
     else
       this.#loseDuty(
@@ -322,7 +322,7 @@
   async #acquire(): Promise<void> {
     if (this.#isAcquiring || !this.#mayAcquire()) return;
     const observation = this.#observeCopy();
-    const record = presentRecord(observation);
+    const record = currentRecord(observation);
     const endedLife = record?.state === 'held' ? record.life : this.self.life;
     this.#freeFromMs = this.#history.freeFromMs(endedLife);
     this.#isAcquiring = true;
@@ -341,11 +341,11 @@
   #mayAcquire(): boolean {
     if (this.#isStopped || this.#fence !== null || !this.#isRegistered) return false;
     if (!this.#isCopyOfCurrentEra()) return false;
-    const record = presentRecord(this.#observeCopy());
+    const record = currentRecord(this.#observeCopy());
     return record?.state !== 'held' || record.holder === this.self.name;
   }
 
-  async #tryAcquire(observation: DutySight): Promise<void> {
+  async #tryAcquire(observation: DutyObservation): Promise<void> {
     await this.#dutyLease.grant();
     const leaseId = this.#dutyLease.id;
     this.#askedAtMs = this.now();
@@ -440,7 +440,7 @@
   }
 
   /** The duty as shown by the local copy. A record that cannot be read is treated like one that is absent. */
-  #observeCopy(): DutySight {
+  #observeCopy(): DutyObservation {
     const { items } = this.localCopy();
     const duty = items.get(DUTY_KEY) ?? null;
     const fence = items.get(FENCE_KEY) ?? null;
--- a/src/coordination/entry-faults.ts
+++ b/src/coordination/entry-faults.ts
@@ -41,7 +41,7 @@
   }
 
   /** Reports an ignored entry. A revision that was already reported for its key is not reported again. */
-  leftOut({ kind, key, revision }: UnreadableEntry, fault: EntryFault): void {
+  reportUnreadable({ kind, key, revision }: UnreadableEntry, fault: EntryFault): void {
     if (revision !== null && !this.#markReported(key, revision)) return;
     this.ports.count(kind, fault.kind);
     const details = {
@@ -54,7 +54,7 @@
   }
 
   /** Clears the fault of a key that can be read again or was deleted. */
-  good(kind: EntryKind, key: string): void {
+  reportReadable(kind: EntryKind, key: string): void {
     if (this.#reportedRevisions.size > 0) this.#reportedRevisions.delete(key);
     this.#faultLog.clear(logEventOf(kind), key);
   }
@@ -76,7 +76,7 @@
 }
 
 /** Reports that are neither counted nor logged. */
-export function untoldFaults(): EntryFaults {
+export function discardedFaults(): EntryFaults {
   return new EntryFaults({ log: () => undefined, count: () => undefined, now: () => 0 });
 }
 
--- a/src/coordination/store-era.ts
+++ b/src/coordination/store-era.ts
@@ -20,12 +20,12 @@
   }
 
   /** Registers a listener for each increase of the era. The first era observed is not an increase. */
-  onRise(listener: EraListener): void {
+  onIncrease(listener: EraListener): void {
     this.#listeners.push(listener);
   }
 
   /** Records the era of a response. Responses may arrive late and carry an earlier era, which is ignored. */
-  hear(era: number): void {
+  observe(era: number): void {
     const before = this.#current;
     if (before !== null && era <= before) return;
     this.#current = era;
--- a/src/coordination/store-lease.ts
+++ b/src/coordination/store-lease.ts
@@ -56,7 +56,7 @@
   async renew(): Promise<boolean> {
     if (!this.isHeld) return false;
     const sentAtMs = this.now();
-    if (!(await this.store.keepLease(this.id))) return false;
+    if (!(await this.store.renewLease(this.id))) return false;
     this.#untilMs = this.trustedUntilMs(sentAtMs);
     return true;
   }
@@ -71,6 +71,6 @@
   async revoke(): Promise<void> {
     const { id, isHeld } = this;
     this.forget();
-    if (isHeld) await this.store.endLease(id);
+    if (isHeld) await this.store.revokeLease(id);
   }
 }
--- a/src/coordination/stored-json.ts
+++ b/src/coordination/stored-json.ts
@@ -23,26 +23,26 @@
 }
 
 /** Result of reading an entry. */
-export type Reading<T> =
+export type ReadResult<T> =
   { readonly kind: 'read'; readonly value: T } | { readonly kind: 'unreadable'; readonly fault: EntryFault };
 
 /** A name that can be sent as one word of a line: no white space and no control characters. */
-export const word = z.string().check(z.regex(/^[^\s\u0000-\u001f\u007f-\u009f]+$/));
+export const singleWordSchema = z.string().check(z.regex(/^[^\s\u0000-\u001f\u007f-\u009f]+$/));
 /** A non-empty string. */
-export const text = z.string().check(z.minLength(1));
+export const nonEmptyStringSchema = z.string().check(z.minLength(1));
 /** An integer of 0 or more. */
-export const count = z.int().check(z.nonnegative());
+export const nonNegativeIntSchema = z.int().check(z.nonnegative());
 /** A number of 0 or more. */
-export const amount = z.number().check(z.nonnegative());
+export const nonNegativeNumberSchema = z.number().check(z.nonnegative());
 /** A TCP port, from 1 to 65535. */
-export const port = z.int().check(z.positive(), z.lte(65_535));
+export const tcpPortSchema = z.int().check(z.positive(), z.lte(65_535));
 
 /** Parses a JSON value of at most `maxBytes` bytes and validates it against a schema. */
 export function readJson<Schema extends z.ZodMiniType>(
   value: Buffer,
   schema: Schema,
   maxBytes = MAX_ENTRY_BYTES,
-): Reading<z.infer<Schema>> {
+): ReadResult<z.infer<Schema>> {
   if (value.length > maxBytes) return unreadable('size', `${value.length} bytes`);
   if (!isUtf8(value)) return unreadable('encoding', 'no UTF-8');
   const parsed = parseJson(value);
@@ -53,18 +53,18 @@
 export function readShape<Schema extends z.ZodMiniType>(
   value: unknown,
   schema: Schema,
-): Reading<z.infer<Schema>> {
+): ReadResult<z.infer<Schema>> {
   const result = schema.safeParse(value);
   if (result.success) return { kind: 'read', value: result.data };
   return unreadable('shape', describeIssue(result.error.issues[0]));
 }
 
 /** Returns the name that follows a prefix in a key. */
-export function readName(key: string, prefix: string): Reading<string> {
+export function readName(key: string, prefix: string): ReadResult<string> {
   const name = key.slice(prefix.length);
   if (name === '') return unreadable('key', 'no name');
   if (Buffer.byteLength(key) > MAX_KEY_BYTES) return unreadable('key', 'too long');
-  if (!word.safeParse(name).success)
+  if (!singleWordSchema.safeParse(name).success)
     return unreadable('key', 'name without white space or control characters expected');
   return { kind: 'read', value: name };
 }
@@ -78,7 +78,7 @@
 }
 
 /** Discards the error of the parser, which quotes the text. */
-function parseJson(value: Buffer): Reading<unknown> {
+function parseJson(value: Buffer): ReadResult<unknown> {
   try {
     return { kind: 'read', value: JSON.parse(value.toString()) as unknown };
   } catch {
--- a/src/coordination/watched-store.test.ts
+++ b/src/coordination/watched-store.test.ts
@@ -32,7 +32,7 @@
       log: () => undefined,
       now: () => 0,
       random: () => 0.5,
-      rest: (ms) => {
+      sleep: (ms) => {
         pauses.push(ms);
         return Promise.resolve();
       },
@@ -83,11 +83,11 @@
       revision: at(revision),
     }));
     const { watched, pauses } = startCopy(store);
-    watched.watchers = 30;
+    watched.watcherCount = 30;
     await settle();
     watched.stop();
     assert.deepEqual(pauses.slice(0, 1), [108]);
-    watched.watchers = 900;
+    watched.watcherCount = 900;
     assert.ok(pauses.every((ms) => ms <= 180));
   });
 
@@ -118,7 +118,7 @@
         log: () => undefined,
         now: () => 0,
         random: () => 1,
-        rest: (ms) => {
+        sleep: (ms) => {
           pauses.push(ms);
           if (pauses.length < 12) return Promise.resolve();
           watched.stop();
@@ -182,7 +182,7 @@
       log: (event, details) => lines.push(`${event} ${JSON.stringify(details)}`),
       now: () => 0,
       random: () => 0.5,
-      rest: () => Promise.resolve(),
+      sleep: () => Promise.resolve(),
     });
     watched.subscribe('a/', { changed: fail, removed: fail, settled: fail, availability: fail });
     watched.subscribe('a/', {
@@ -219,7 +219,7 @@
       log: () => undefined,
       now: () => 0,
       random: () => 0.5,
-      rest: () => settle(),
+      sleep: () => settle(),
     });
     const quiet = { changed: () => undefined, removed: () => undefined, settled: () => undefined };
     watched.subscribe('', {
@@ -252,14 +252,14 @@
     put('a/1', 0, 50);
     put('a/2', 0, 51);
     store.number = 51;
-    store.era.hear(0);
+    store.era.observe(0);
     const { watched, reported } = startCopy(store);
     await until(() => reported.includes('a/1@50'));
     reported.length = 0;
     store.items.clear();
     put('a/1', 1, 9);
     store.number = 9;
-    store.era.hear(1);
+    store.era.observe(1);
     await until(() => reported.includes('up'));
     assert.deepEqual(reported.slice(0, 4), ['down', '-a/2', 'a/1@9', 'settled']);
     watched.stop();
@@ -272,7 +272,7 @@
     store.watchAnswers = [
       { kind: 'events', events: [{ key: 'a/1', value, revision: at(6) }], revision: at(6) },
     ];
-    store.era.hear(1);
+    store.era.observe(1);
     await until(() => store.lists >= 2);
     watched.stop();
     assert.ok(reported.includes('down'));
--- a/src/coordination/watched-store.ts
+++ b/src/coordination/watched-store.ts
@@ -6,7 +6,7 @@
  */
 import { delay } from '../common/signal.js';
 import { FaultLog, nameFault } from '../observability/fault-log.js';
-import type { ChangeFeed, FeedAnswer } from './change-feed.js';
+import type { ChangeFeed, FeedResponse } from './change-feed.js';
 import { ChangeLog } from './change-log.js';
 import type { StoredItem, StoreEvent } from './coordination-store.js';
 import { formatRevision, isLater, isSameRevision, laterOf, NO_REVISION, type Revision } from './revision.js';
@@ -81,7 +81,7 @@
   now(): number;
   random(): number;
   /** Waits for `ms` milliseconds; replaced in tests. */
-  rest?(ms: number): Promise<void>;
+  sleep?(ms: number): Promise<void>;
 }
 
 /** A local copy of the store, kept up to date by a single watch. */
@@ -89,7 +89,7 @@
   /** Recent changes received from the store, to be relayed to other daemons. */
   readonly changes = new ChangeLog();
   /** Number of daemons that watch the store, including this one. */
-  watchers = 1;
+  watcherCount = 1;
   readonly #items = new Map<string, StoredItem>();
   readonly #listeners: { readonly prefix: string; readonly listener: WatchedPrefixListener }[] = [];
   readonly #faults: FaultLog;
@@ -103,7 +103,7 @@
 
   constructor(private readonly options: WatchedStoreOptions) {
     this.#faults = new FaultLog(options.log, options.now);
-    options.era.onRise(() => this.#abandonWatch());
+    options.era.onIncrease(() => this.#abandonWatch());
   }
 
   /** Registers a listener for the keys under a prefix; to be called before {@link WatchedStore.run}. */
@@ -155,8 +155,8 @@
    * same time.
    */
   async #loadStaggered(): Promise<void> {
-    const { rest = delay, random } = this.options;
-    if (this.#revision !== null) await rest(random() * RELOAD_SPREAD_MS_PER_WATCHER * this.watchers);
+    const { sleep: rest = delay, random } = this.options;
+    if (this.#revision !== null) await rest(random() * RELOAD_SPREAD_MS_PER_WATCHER * this.watcherCount);
     await this.#load();
   }
 
@@ -200,7 +200,7 @@
     else
       this.changes.append(afterRevision, answer.events, answer.revision, this.options.now(), previousItems);
     this.#notifySettled(answer.events);
-    const { rest = delay } = this.options;
+    const { sleep: rest = delay } = this.options;
     if (answer.events.length > 0 && !answer.isPassedOn) await rest(this.#batchingMs());
     return true;
   }
@@ -209,22 +209,22 @@
    * Watches until the response or an increase of the era: a watch that waits during a restore may be the last
    * to report it.
    */
-  #watch(afterRevision: Revision, waitMs: number): Promise<FeedAnswer> {
+  #watch(afterRevision: Revision, waitMs: number): Promise<FeedResponse> {
     const watching = this.options.feed.watch(afterRevision, waitMs);
     // A failure after the watch was abandoned must not be reported as an unhandled rejection.
     watching.catch(() => undefined);
-    const abandoned = new Promise<FeedAnswer>((resolve) => {
+    const abandoned = new Promise<FeedResponse>((resolve) => {
       this.#abandonWatch = () => resolve({ kind: 'compacted', isPassedOn: false });
     });
     return Promise.race([watching, abandoned]);
   }
 
   #batchingMs(): number {
-    return Math.min(MAX_BATCHING_MS, MIN_BATCHING_MS + BATCHING_MS_PER_WATCHER * (this.watchers - 1));
+    return Math.min(MAX_BATCHING_MS, MIN_BATCHING_MS + BATCHING_MS_PER_WATCHER * (this.watcherCount - 1));
   }
 
   #maxBackoffMs(): number {
-    return MAX_BACKOFF_MS + Math.min(MAX_BACKOFF_MS, BACKOFF_MS_PER_WATCHER * (this.watchers - 1));
+    return MAX_BACKOFF_MS + Math.min(MAX_BACKOFF_MS, BACKOFF_MS_PER_WATCHER * (this.watcherCount - 1));
   }
 
   #notifySettled(events: readonly StoreEvent[]): void {
@@ -298,7 +298,7 @@
     this.#recordFailure(reason);
     const maxMs = this.#revision === null ? MAX_BACKOFF_UNLOADED_MS : this.#maxBackoffMs();
     const backoffMs = Math.min(maxMs, MIN_BACKOFF_MS * 2 ** Math.min(this.#failures, 10));
-    const { rest = delay } = this.options;
+    const { sleep: rest = delay } = this.options;
     await rest(backoffMs * (0.5 + this.options.random() / 2));
   }
 }
--- a/src/gateway/borrowed-link.ts
+++ b/src/gateway/borrowed-link.ts
@@ -4,9 +4,9 @@
  * @packageDocumentation
  */
 import { LinkLostError, NotSentError, type MemberReply, type MemberRequest } from '../relay/member-link.js';
-import { memberNameOf } from '../relay/pooled-link.js';
+import { preparedStatementName } from '../relay/pooled-link.js';
 import type { SessionLink, SessionValues } from '../relay/session-link.js';
-import type { PreparedShape, TransactionState } from '../relay/statement.js';
+import type { PreparedStatement, TransactionState } from '../relay/statement.js';
 import type { BorrowMessage, GatewayMessage } from './gateway-messages.js';
 
 interface Pending {
@@ -17,7 +17,7 @@
 /** One loan, at the daemon that borrows. */
 export class BorrowedLink implements SessionLink {
   readonly #pending: Pending[] = [];
-  readonly #prepared = new Map<string, PreparedShape>();
+  readonly #prepared = new Map<string, PreparedStatement>();
   #values: SessionValues = new Map();
   #state: TransactionState = 'idle';
   #hasBegun = false;
@@ -50,7 +50,7 @@
     return this.#pending.length > 0;
   }
 
-  async adoptValues(values: SessionValues): Promise<void> {
+  async setSessionValues(values: SessionValues): Promise<void> {
     if (!this.#isOpen) throw new NotSentError('not open');
     if (isSame(values, this.#values)) return;
     this.#values = new Map(values);
@@ -58,8 +58,8 @@
     this.transmit({ type: 'values', loan: this.terms.loan, values: [...values] });
   }
 
-  async prepare(prepared: PreparedShape): Promise<string> {
-    const name = memberNameOf(prepared);
+  async prepare(prepared: PreparedStatement): Promise<string> {
+    const name = preparedStatementName(prepared);
     this.#prepared.set(name, prepared);
     return name;
   }
--- a/src/gateway/gateway-client.ts
+++ b/src/gateway/gateway-client.ts
@@ -8,7 +8,7 @@
 import { EvidenceReader, type SharedEvidence } from '../leadership/evidence-exchange.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
 import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
-import type { PassedChanges } from '../coordination/change-relay.js';
+import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import { MessageChannel } from '../peer/message-channel.js';
 import { BorrowedLink } from './borrowed-link.js';
@@ -47,7 +47,7 @@
 /** Its answer; `null` when none came in time. */
 type Answer =
   | { readonly type: 'evidence'; readonly entries: readonly SharedEvidence[] }
-  | { readonly type: 'changes'; readonly answer: PassedChanges }
+  | { readonly type: 'changes'; readonly answer: RelayResponse }
   | { readonly type: 'configuration'; readonly answer: PassedConfiguration }
   | { readonly type: 'grant'; readonly grant: Grant | null }
   | null;
@@ -278,7 +278,7 @@
     afterRevision: Revision,
     waitMs: number,
     timeoutMs: number,
-  ): Promise<PassedChanges | null> {
+  ): Promise<RelayResponse | null> {
     const answer = await this.#ask(record, { type: 'ask_changes', afterRevision, waitMs }, timeoutMs);
     return answer?.type === 'changes' ? answer.answer : null;
   }
--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -7,12 +7,12 @@
  *
  * @packageDocumentation
  */
-import type { EvidenceAnswer } from '../leadership/evidence-exchange.js';
-import type { PassedChanges } from '../coordination/change-relay.js';
+import type { EvidenceReply } from '../leadership/evidence-exchange.js';
+import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import type { MemberReply, MemberRequest } from '../relay/member-link.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
-import type { PreparedShape } from '../relay/statement.js';
+import type { PreparedStatement } from '../relay/statement.js';
 import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
 
 /** Begins a loan; nothing is sent to the member yet. */
@@ -43,7 +43,7 @@
   readonly loan: number;
   readonly request: MemberRequest;
   /** What has to be prepared before an `execute`. */
-  readonly prepared: PreparedShape | null;
+  readonly prepared: PreparedStatement | null;
 }
 
 /** Ends a loan; what is open is rolled back. */
@@ -95,7 +95,7 @@
 export interface EvidenceAnswerMessage {
   readonly type: 'evidence';
   readonly id: number;
-  readonly answer: EvidenceAnswer;
+  readonly answer: EvidenceReply;
 }
 
 /** Asks for changes of the store after a revision. */
@@ -111,7 +111,7 @@
 export interface ChangesAnswerMessage {
   readonly type: 'changes';
   readonly id: number;
-  readonly answer: PassedChanges;
+  readonly answer: RelayResponse;
 }
 
 /** Asks for a proof that a configuration is the newest, and for a newer one. */
--- a/src/gateway/gateway-server.test.ts
+++ b/src/gateway/gateway-server.test.ts
@@ -53,9 +53,9 @@
     budget: () => 1,
     dialTimeoutMs: 100,
     limitBackoffMs: 10,
-    idleMs: 60_000,
+    idleTimeoutMs: 60_000,
     serviceMs: () => 10,
-    onTrouble: () => undefined,
+    onFailure: () => undefined,
     now: () => performance.now(),
     random: () => 0.5,
   });
@@ -199,7 +199,7 @@
   test('ends a loan that rests inside a transaction, before its next request', async () => {
     const loan = await resting();
     server.endLoans(pool);
-    pool.end();
+    pool.closePermanently();
     await waitUntil('the borrower to be told', () => !loan.isOpen);
     assert.equal(memberLink().isOpen, false);
     assert.equal(await fateOf(loan.send(COMMIT)), 'not sent');
@@ -211,7 +211,7 @@
     const fate = fateOf(loan.send(COMMIT));
     await waitUntil('the member to be asked', () => memberLink().isAsked);
     server.endLoans(pool);
-    pool.end();
+    pool.closePermanently();
     assert.equal(await fate, 'lost');
   });
 
@@ -220,7 +220,7 @@
     const fate = fateOf(client.borrow(RECORD, TERMS).send(WRITE));
     await waitUntil('the request to wait', () => server.openLoans === 2);
     server.endLoans(pool);
-    pool.end();
+    pool.closePermanently();
     assert.equal(await fate, 'refused');
     await waitUntil('the borrower to be told', () => !holder.isOpen);
   });
--- a/src/gateway/gateway-server.ts
+++ b/src/gateway/gateway-server.ts
@@ -4,10 +4,10 @@
  * @packageDocumentation
  */
 import { createServer, type Server, type Socket } from 'node:net';
-import type { EvidenceAnswer } from '../leadership/evidence-exchange.js';
+import type { EvidenceReply } from '../leadership/evidence-exchange.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
 import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
-import type { PassedChanges } from '../coordination/change-relay.js';
+import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import { MessageChannel } from '../peer/message-channel.js';
 import type { LinkPool } from '../relay/link-pool.js';
@@ -21,9 +21,9 @@
   /** The pool of a member, in the life that is meant, to which this daemon may connect, or `null`. */
   pool(groupName: string, life: Incarnation): LinkPool | null;
   /** What this daemon can prove, for one who has been sent a version of the leaders. */
-  ownEvidence(knownVersion: number): EvidenceAnswer;
+  ownEvidence(knownVersion: number): EvidenceReply;
   /** Changes of the store as this daemon has heard of them. */
-  changes(afterRevision: Revision, waitMs: number): Promise<PassedChanges>;
+  changes(afterRevision: Revision, waitMs: number): Promise<RelayResponse>;
   /** What this daemon knows of the newest configuration, for one who holds a version of it. */
   configuration(heldVersion: number): PassedConfiguration;
   /** Operations of a tenant for another daemon; `null` when this daemon is not the one to ask. */
--- a/src/gateway/loan.ts
+++ b/src/gateway/loan.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 import type { LinkPool } from '../relay/link-pool.js';
-import { LinkWait } from '../relay/link-wait.js';
+import { LinkAcquisition } from '../relay/link-acquisition.js';
 import { NotSentError, type MemberReply } from '../relay/member-link.js';
 import type { PooledLink } from '../relay/pooled-link.js';
 import type { SessionValues } from '../relay/session-link.js';
@@ -48,7 +48,7 @@
 export class Loan {
   readonly #queue: (ValuesMessage | LoanRequestMessage)[] = [];
   #values: SessionValues = new Map();
-  #wait: LinkWait<LinkPool> | null = null;
+  #wait: LinkAcquisition<LinkPool> | null = null;
   #link: PooledLink | null = null;
   #isWorking = false;
   /** The member has been sent a request of the loan, and owes the answer. */
@@ -116,7 +116,7 @@
     const wasIdle = link.state === 'idle';
     let { request } = message;
     try {
-      await link.adoptValues(this.#values);
+      await link.setSessionValues(this.#values);
       if (request.kind === 'execute' && message.prepared !== null)
         request = { ...request, name: await link.prepare(message.prepared) };
     } catch (error) {
@@ -149,12 +149,12 @@
     }
     const { tenantName, priority, waitMs } = terms;
     const dueAtMs = performance.now() + waitMs;
-    const wait = new LinkWait<LinkPool>(
+    const wait = new LinkAcquisition<LinkPool>(
       { tenantName, values: this.#values, isWrite: false, priority, dueAtMs },
       waitMs,
     );
     this.#wait = wait;
-    wait.joinAll([{ place: pool, member: pool }]);
+    wait.enqueueAll([{ place: pool, member: pool }]);
     // Whoever waited until the end of the process would not learn that nothing was sent.
     if (this.options.stage() !== 'lending') wait.cancel();
     try {
@@ -176,7 +176,7 @@
   /** Why no connection is taken at all, or `null`. */
   #obstacle(): string | null {
     if (this.options.stage() === 'winding_up') return STOPPING;
-    return this.options.pool?.isShut === true ? 'the member has too many connections' : null;
+    return this.options.pool?.isUnavailable === true ? 'the member has too many connections' : null;
   }
 
   /** A borrower that learns before its next request that nothing of the transaction is kept need not send it. */
--- a/src/gateway/member-connections.test.ts
+++ b/src/gateway/member-connections.test.ts
@@ -8,7 +8,7 @@
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { LinkPool } from '../relay/link-pool.js';
 import type { LinkDemand } from '../relay/link-queue.js';
-import { PoolTimeoutError } from '../relay/link-wait.js';
+import { PoolTimeoutError } from '../relay/link-acquisition.js';
 import { DialError } from '../relay/member-link.js';
 import type { SessionLink } from '../relay/session-link.js';
 import type { GatewayClient, LoanTerms } from './gateway-client.js';
@@ -36,9 +36,9 @@
     budget: () => 2,
     dialTimeoutMs: 100,
     limitBackoffMs: 100,
-    idleMs: 1000,
+    idleTimeoutMs: 1000,
     serviceMs: () => 10,
-    onTrouble: () => undefined,
+    onFailure: () => undefined,
     random: () => 0.5,
     now: () => clock.now,
   });
--- a/src/gateway/member-connections.ts
+++ b/src/gateway/member-connections.ts
@@ -6,7 +6,7 @@
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import type { LinkPool } from '../relay/link-pool.js';
 import type { LinkDemand } from '../relay/link-queue.js';
-import { PoolTimeoutError } from '../relay/link-wait.js';
+import { PoolTimeoutError } from '../relay/link-acquisition.js';
 import { PooledLink } from '../relay/pooled-link.js';
 import type { SessionLink } from '../relay/session-link.js';
 import type { Assignment } from './assign-gateways.js';
@@ -88,7 +88,7 @@
    * a loss of power, members count the connections of processes that are no more.
    */
   get isDirect(): boolean {
-    return this.isAssigned && !(this.options.pool.isShut && this.options.others().length > 0);
+    return this.isAssigned && !(this.options.pool.isUnavailable && this.options.others().length > 0);
   }
 
   /**
@@ -136,7 +136,7 @@
   /** The member's life has ended: all connections end now, own ones and loans, also those in use. */
   end(): void {
     this.#hasEnded = true;
-    this.options.pool.end();
+    this.options.pool.closePermanently();
     for (const link of [...this.#borrowed]) this.release(link);
   }
 
--- a/src/gateway/waiting-loan.test.ts
+++ b/src/gateway/waiting-loan.test.ts
@@ -26,9 +26,9 @@
   budget: () => 0,
   dialTimeoutMs: 100,
   limitBackoffMs: 10,
-  idleMs: 1000,
+  idleTimeoutMs: 1000,
   serviceMs: () => 10,
-  onTrouble: () => undefined,
+  onFailure: () => undefined,
   now: () => performance.now(),
   random: () => 0.5,
 });
--- a/src/leadership/commit-watch.ts
+++ b/src/leadership/commit-tracker.ts
@@ -18,25 +18,25 @@
 const SMOOTHING_FACTOR = 0.8;
 
 /** A commit without an answer yet. */
-export interface SentCommit {
+export interface PendingCommit {
   readonly sentAtMs: number;
 }
 
 /** Tracks the commits of one group. */
-export class CommitWatch {
+export class CommitTracker {
   /** In the order in which they were sent. */
-  readonly #pending = new Set<SentCommit>();
+  readonly #pending = new Set<PendingCommit>();
   #typicalMs = INITIAL_TYPICAL_MS;
 
   /** Records that a commit is sent. */
-  sent(nowMs: number): SentCommit {
+  recordSent(nowMs: number): PendingCommit {
     const commit = { sentAtMs: nowMs };
     this.#pending.add(commit);
     return commit;
   }
 
   /** Records that a commit was answered, or is not waited for any more. */
-  ended(commit: SentCommit, isAnswered: boolean, nowMs: number): void {
+  recordEnded(commit: PendingCommit, isAnswered: boolean, nowMs: number): void {
     this.#pending.delete(commit);
     if (isAnswered)
       this.#typicalMs =
--- a/src/leadership/ended-daemon.test.ts
+++ b/src/leadership/ended-daemon.test.ts
@@ -127,7 +127,7 @@
   test('is bounded by a question to the leader where nobody else asks it', async () => {
     const scene = new ModelledGroup(['old', 'one', 'two']);
     scene.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
-    scene.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    scene.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     assert.ok(scene.commit(scene.member('old')));
     const endedAtMs = performance.now();
     const running = scene.supervisor.daemonEnded();
@@ -146,7 +146,7 @@
   test('is asked for once where many have ended', async () => {
     const scene = new ModelledGroup(['old', 'one', 'two']);
     scene.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
-    scene.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    scene.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     scene.member('old').isCutFromHolder = true;
     const ENDS = 20;
     await Promise.all(Array.from({ length: ENDS }, () => scene.supervisor.daemonEnded()));
--- a/src/leadership/evidence-exchange.test.ts
+++ b/src/leadership/evidence-exchange.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { EvidenceAnswers, EvidenceReader, type SharedEvidence } from './evidence-exchange.js';
+import { EvidenceResponder, EvidenceReader, type SharedEvidence } from './evidence-exchange.js';
 
 function evidenceOf(memberId: string, ageMs: number): SharedEvidence {
   return { groupName: 'g', memberId, term: 1, held: null, ageMs };
@@ -13,7 +13,7 @@
 
 test('the leaders are sent once, and again when they change', () => {
   let evidence = [evidenceOf('m1', 10)];
-  const answers = new EvidenceAnswers(() => evidence);
+  const answers = new EvidenceResponder(() => evidence);
   const reader = new EvidenceReader();
   const first = answers.answer(reader.knownVersion);
   assert.deepEqual(reader.read(first), evidence);
@@ -29,7 +29,7 @@
 
 test('a reply that refers to an older list is not decoded with a newer one', () => {
   let evidence = [evidenceOf('m1', 10)];
-  const answers = new EvidenceAnswers(() => evidence);
+  const answers = new EvidenceResponder(() => evidence);
   const reader = new EvidenceReader();
   reader.read(answers.answer(reader.knownVersion));
   const old = answers.answer(reader.knownVersion);
@@ -39,7 +39,7 @@
 });
 
 test('each requester is answered according to the version that it has', () => {
-  const answers = new EvidenceAnswers(() => [evidenceOf('m1', 10)]);
+  const answers = new EvidenceResponder(() => [evidenceOf('m1', 10)]);
   const one = new EvidenceReader();
   const other = new EvidenceReader();
   one.read(answers.answer(one.knownVersion));
--- a/src/leadership/evidence-exchange.ts
+++ b/src/leadership/evidence-exchange.ts
@@ -27,7 +27,7 @@
 }
 
 /** A reply with evidence, as it is sent. */
-export interface EvidenceAnswer {
+export interface EvidenceReply {
   /** Version of the list of leaders; rises when the list changes. */
   readonly version: number;
   /** The leaders, or `null` when the requester has this version of the list. */
@@ -40,7 +40,7 @@
 const NO_VERSION = 0;
 
 /** Builds the replies of one daemon to requests for evidence. */
-export class EvidenceAnswers {
+export class EvidenceResponder {
   #version = NO_VERSION;
   #leaders: readonly GroupLeader[] = [];
 
@@ -48,7 +48,7 @@
   constructor(private readonly evidence: () => readonly SharedEvidence[]) {}
 
   /** @param knownVersion - version of the list of leaders that the requester has */
-  answer(knownVersion: number): EvidenceAnswer {
+  answer(knownVersion: number): EvidenceReply {
     const entries = this.evidence();
     if (this.#version === NO_VERSION || !this.#matchesLeaders(entries)) {
       this.#version += 1;
@@ -83,7 +83,7 @@
   }
 
   /** The evidence in a reply; empty when the list of leaders that it refers to is not known. */
-  read({ version, leaders, agesMs }: EvidenceAnswer): readonly SharedEvidence[] {
+  read({ version, leaders, agesMs }: EvidenceReply): readonly SharedEvidence[] {
     if (leaders !== null) {
       this.#version = version;
       this.#leaders = leaders;
--- a/src/leadership/evidence-sharing.test.ts
+++ b/src/leadership/evidence-sharing.test.ts
@@ -9,7 +9,7 @@
 import { MemberGroup } from '../topology/member-group.js';
 import type { SharedEvidence } from './evidence-exchange.js';
 import { EvidenceSharing } from './evidence-sharing.js';
-import { EVIDENCE_MS, HOLDER_RENEWAL_MS } from './leadership-evidence.js';
+import { EVIDENCE_VALIDITY_MS, HOLDER_RENEWAL_MS } from './leadership-evidence.js';
 
 const HOLDER_TIMEOUT_MS = 200;
 const GROUP = 'g';
@@ -33,12 +33,12 @@
       zone: 'a',
       groups: () => [this.group],
       fleetSize: () => 195,
-      askers: () => collectors?.map((name) => ({ name, zone: 'a' }) as DaemonRecord) ?? null,
+      collectors: () => collectors?.map((name) => ({ name, zone: 'a' }) as DaemonRecord) ?? null,
       holdsDuty: () => false,
       askHolder: () => (this.hasHolder ? Promise.resolve([this.#evidence(0)]) : this.#timeout()),
       // A collector that others depend on renews its evidence at this age, so its evidence is never older.
       askDaemon: () => Promise.resolve([this.#evidence(HOLDER_RENEWAL_MS)]),
-      gained: () => undefined,
+      evidenceGained: () => undefined,
       now: () => this.now,
       random: () => 0.5,
     });
@@ -74,7 +74,7 @@
   void fixture.sharing.run();
   await fixture.advance(2000);
   fixture.hasHolder = false;
-  assert.equal(await fixture.advance(4 * EVIDENCE_MS), 0);
+  assert.equal(await fixture.advance(4 * EVIDENCE_VALIDITY_MS), 0);
   fixture.sharing.stop();
 });
 
@@ -82,13 +82,13 @@
   const fixture = new SharingFixture(context, ['d1', 'd2']);
   void fixture.sharing.run();
   await fixture.advance(2000);
-  assert.equal(fixture.sharing.isReliedOn, false);
+  assert.equal(fixture.sharing.suppliesEvidence, false);
   fixture.hasHolder = false;
   await fixture.advance(1000);
-  assert.equal(fixture.sharing.isReliedOn, true);
+  assert.equal(fixture.sharing.suppliesEvidence, true);
   fixture.hasHolder = true;
   await fixture.advance(1000);
-  assert.equal(fixture.sharing.isReliedOn, false);
+  assert.equal(fixture.sharing.suppliesEvidence, false);
   fixture.sharing.stop();
 });
 
@@ -97,6 +97,6 @@
   fixture.hasHolder = false;
   void fixture.sharing.run();
   await fixture.advance(1000);
-  assert.equal(fixture.sharing.isReliedOn, false);
+  assert.equal(fixture.sharing.suppliesEvidence, false);
   fixture.sharing.stop();
 });
--- a/src/leadership/evidence-sharing.ts
+++ b/src/leadership/evidence-sharing.ts
@@ -11,7 +11,7 @@
 import { delay } from '../common/signal.js';
 import type { MemberGroup } from '../topology/member-group.js';
 import type { SharedEvidence } from './evidence-exchange.js';
-import { EVIDENCE_MS, EVIDENCE_REQUEST_INTERVAL_MS } from './leadership-evidence.js';
+import { EVIDENCE_VALIDITY_MS, EVIDENCE_REQUEST_INTERVAL_MS } from './leadership-evidence.js';
 
 /** Timeout of a request for evidence to another daemon, in milliseconds. */
 const SHARING_TIMEOUT_MS = 200;
@@ -38,14 +38,14 @@
   /**
    * The collectors: daemons that query the members on behalf of all; `null` when every daemon queries them.
    */
-  askers(): readonly DaemonRecord[] | null;
+  collectors(): readonly DaemonRecord[] | null;
   holdsDuty(): boolean;
   /** Requests the evidence of the holder of the duty; `null` when there is none or it does not answer. */
   askHolder(timeoutMs: number): Promise<readonly SharedEvidence[] | null>;
   /** Requests the evidence of another daemon. */
   askDaemon(record: DaemonRecord, timeoutMs: number): Promise<readonly SharedEvidence[] | null>;
   /** A group has evidence of its leader after it had none. */
-  gained(group: MemberGroup): void;
+  evidenceGained(group: MemberGroup): void;
   now(): number;
   random(): number;
 }
@@ -60,8 +60,8 @@
   constructor(private readonly options: EvidenceSharingOptions) {}
 
   /** True when this daemon queries the members itself to renew its evidence of a group. */
-  asksWitnesses(group: MemberGroup): boolean {
-    if (this.options.holdsDuty() || this.isAsker()) return true;
+  queriesWitnesses(group: MemberGroup): boolean {
+    if (this.options.holdsDuty() || this.isCollector()) return true;
     const now = this.options.now();
     if (group.evidence.current(now) !== null) {
       this.#missingSinceMs.delete(group.name);
@@ -73,8 +73,8 @@
   }
 
   /** True when this daemon is a collector, which queries the members on behalf of others. */
-  isAsker(): boolean {
-    const collectors = this.options.askers();
+  isCollector(): boolean {
+    const collectors = this.options.collectors();
     return collectors === null || collectors.some(({ name }) => name === this.options.ownName);
   }
 
@@ -82,8 +82,8 @@
    * True while other daemons depend on the evidence that this collector gathers from members: it has to be
    * fresh when they request it.
    */
-  get isReliedOn(): boolean {
-    return this.#isHolderUnresponsive && this.options.askers() !== null && this.isAsker();
+  get suppliesEvidence(): boolean {
+    return this.#isHolderUnresponsive && this.options.collectors() !== null && this.isCollector();
   }
 
   /** The valid evidence of this daemon. */
@@ -93,7 +93,7 @@
     for (const { evidence, name, heldByLeader: held } of this.options.groups()) {
       const leader = evidence.current(now);
       if (leader === null) continue;
-      const ageMs = Math.ceil(now - (evidence.validUntilMs - EVIDENCE_MS));
+      const ageMs = Math.ceil(now - (evidence.validUntilMs - EVIDENCE_VALIDITY_MS));
       entries.push({ groupName: name, memberId: leader.memberId, term: leader.term, held, ageMs });
     }
     return entries;
@@ -144,7 +144,7 @@
 
   async #askCollector(): Promise<void> {
     const askedAtMs = this.options.now();
-    const collectors = this.options.askers()?.filter(({ name }) => name !== this.options.ownName) ?? [];
+    const collectors = this.options.collectors()?.filter(({ name }) => name !== this.options.ownName) ?? [];
     const inZone = collectors.filter(({ zone }) => zone === this.options.zone);
     const prefersZone = inZone.length > 0 && this.options.random() < 0.8;
     const candidates = prefersZone ? inZone : collectors;
@@ -162,7 +162,7 @@
     const { leader } = group.evidence;
     if (leader?.memberId !== memberId) return;
     if (held !== null && leader.term === term) group.noteReceived(held);
-    const isEvidence = group.evidence.witness(term, 0, askedAtMs - ageMs);
-    if (isEvidence && !hadEvidence) this.options.gained(group);
+    const isEvidence = group.evidence.recordWitness(term, 0, askedAtMs - ageMs);
+    if (isEvidence && !hadEvidence) this.options.evidenceGained(group);
   }
 }
--- a/src/leadership/group-supervisor.test.ts
+++ b/src/leadership/group-supervisor.test.ts
@@ -34,7 +34,7 @@
     private readonly replicaLosingPause: string | null = null,
   ) {
     for (const memberId of MEMBER_IDS) this.group.members.set(memberId, memberOf(memberId));
-    this.group.evidence.believe({ memberId: 'old', term: TERM });
+    this.group.evidence.observeLeader({ memberId: 'old', term: TERM });
     this.supervisor = new GroupSupervisor(this.group, {
       control: {
         ask: (member: Member, request: MemberRequest) => this.#ask(member, request),
@@ -48,9 +48,9 @@
       },
       heldFence: () => 1,
       order: (order, _timeoutMs, recipients) => this.#order(order, recipients),
-      callerCount: () => 2,
-      isLent: () => false,
-      confirmLeader: () => undefined,
+      connectedDaemonCount: () => 2,
+      usesGateways: () => false,
+      leaderPromoted: () => undefined,
       log: (event) => void this.steps.push(event),
       now: () => performance.now(),
     });
@@ -150,7 +150,7 @@
   const steps: string[] = [];
   const group = new MemberGroup('g');
   for (const memberId of MEMBER_IDS) group.members.set(memberId, memberOf(memberId));
-  group.evidence.believe({ memberId: 'old', term: TERM });
+  group.evidence.observeLeader({ memberId: 'old', term: TERM });
   const ask = (member: Member): Promise<ControlAnswer> => {
     if (member.entry.memberId === 'old') steps.push('asked');
     return Promise.resolve(member.entry.memberId === 'old' ? { kind: 'slow' } : { kind: 'busy' });
@@ -160,9 +160,9 @@
     promotion: { promote: () => Promise.resolve(true) },
     heldFence: () => 1,
     order: () => Promise.resolve(new Map()),
-    callerCount: () => 6,
-    isLent: () => usesGateways,
-    confirmLeader: () => undefined,
+    connectedDaemonCount: () => 6,
+    usesGateways: () => usesGateways,
+    leaderPromoted: () => undefined,
     log: (event) => void steps.push(event),
     now: () => performance.now(),
   });
--- a/src/leadership/group-supervisor.ts
+++ b/src/leadership/group-supervisor.ts
@@ -21,7 +21,7 @@
 import { EndedMembers } from './ended-members.js';
 import { LeaderLoss } from './leader-loss.js';
 import { LeaderSuspicions } from './leader-suspicions.js';
-import { LostLives } from './lost-lives.js';
+import { LostIncarnations } from './lost-incarnations.js';
 import type { ControlAnswer, MemberControl } from './member-control.js';
 import { OpenCalls } from './open-calls.js';
 import { DUTY_RESERVE_MS, Promotion, type PromotionPorts } from './promotion.js';
@@ -56,13 +56,13 @@
     recipients?: Recipients,
   ): Promise<ReadonlyMap<string, OrderOutcome>>;
   /** Number of daemons that keep their own connections to a member. */
-  callerCount(memberId: string): number;
+  connectedDaemonCount(memberId: string): number;
   /**
    * True when those daemons are gateways, which share their connections to the member with all other daemons.
    */
-  isLent(memberId: string): boolean;
+  usesGateways(memberId: string): boolean;
   /** A member has become the leader through a promotion by this daemon. */
-  confirmLeader(): void;
+  leaderPromoted(): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
 }
@@ -107,7 +107,7 @@
   #isStopped = false;
   readonly #suspicions = new LeaderSuspicions();
   readonly #endedMembers = new EndedMembers();
-  readonly #lostIncarnations = new LostLives();
+  readonly #lostIncarnations = new LostIncarnations();
   readonly #stepDowns = new StepDowns();
   readonly #openCalls = new OpenCalls();
   readonly #leaderLoss = new LeaderLoss();
@@ -225,7 +225,7 @@
     if (now - this.#lastTransferMs > TRANSFER_COOLDOWN_MS) {
       const reporterCount = this.#suspicions.lastingReporterCount(
         memberId,
-        this.options.callerCount(memberId),
+        this.options.connectedDaemonCount(memberId),
         now,
       );
       const isStalled =
@@ -247,16 +247,17 @@
     const departed = this.#departedMembers(leader);
     this.#endedMembers.retain(departed);
     const unknown = departed.filter((member) => !this.#endedMembers.has(member));
-    if ((unknown.length === 0 && !this.#lostIncarnations.isLimitOpen) || this.#isRecordingEnded) return;
+    if ((unknown.length === 0 && !this.#lostIncarnations.needsLeaderPosition) || this.#isRecordingEnded)
+      return;
     this.#isRecordingEnded = true;
     const areEnded = await Promise.all(unknown.map((member) => this.#hasEnded(member)));
     const ended = unknown.filter((_, index) => areEnded[index]);
     const askedAtMs = this.options.now();
-    const needsPosition = ended.length > 0 || this.#lostIncarnations.isLimitOpen;
+    const needsPosition = ended.length > 0 || this.#lostIncarnations.needsLeaderPosition;
     const position = needsPosition ? await this.#queryLogPosition(leader) : null;
     if (position !== null) {
       for (const member of ended) this.#endedMembers.record(member, position);
-      this.#lostIncarnations.record(position, askedAtMs);
+      this.#lostIncarnations.recordLeaderPosition(position, askedAtMs);
     }
     if (needsPosition) this.#logEndedMembers(ended, position);
     this.#isRecordingEnded = false;
@@ -334,7 +335,7 @@
    * them.
    */
   async #replaceSteppedDown(): Promise<void> {
-    this.group.evidence.loseLeader();
+    this.group.evidence.clearLeader();
     const members = [...this.group.members.values()];
     const statuses = await Promise.all(members.map((member) => this.#queryStatus(member)));
     let hasLeader = false;
@@ -403,14 +404,15 @@
   #isUncorroborated(leader: Member, kind: string): boolean {
     const { memberId } = leader.entry;
     const requiredReporters = this.#requiredReporters(leader);
-    const needsOtherReporter = kind === 'slow' && this.options.isLent(memberId);
+    const needsOtherReporter = kind === 'slow' && this.options.usesGateways(memberId);
     if (requiredReporters === 1 && !needsOtherReporter) return false;
     return this.#suspicions.count('silent', memberId, this.options.now()) < requiredReporters;
   }
 
   /** Number of daemons that have to report the same suspicion. */
   #requiredReporters(leader: Member): number {
-    const hasManyClientDaemons = this.options.callerCount(leader.entry.memberId) >= MANY_CLIENT_DAEMONS;
+    const hasManyClientDaemons =
+      this.options.connectedDaemonCount(leader.entry.memberId) >= MANY_CLIENT_DAEMONS;
     return hasManyClientDaemons ? REQUIRED_REPORTERS : 1;
   }
 
@@ -505,7 +507,7 @@
   async #queryStatus(member: Member): Promise<ControlAnswer> {
     const answer = await this.options.control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS);
     if (answer.kind === 'answered' && !answer.status.isPrimary)
-      this.#lostIncarnations.heard(member, answer.status, this.options.now());
+      this.#lostIncarnations.recordStatus(member, answer.status, this.options.now());
     return answer;
   }
 
--- a/src/leadership/supervision.ts
+++ b/src/leadership/group-supervisors.ts
@@ -7,8 +7,8 @@
 import type { MemberGroup } from '../topology/member-group.js';
 import { GroupSupervisor, type GroupSupervisorOptions } from './group-supervisor.js';
 
-/** Dependencies of {@link Supervision}. */
-export interface SupervisionOptions {
+/** Dependencies of {@link GroupSupervisors}. */
+export interface GroupSupervisorsOptions {
   /** Options for the supervisor of a group. */
   supervisorOptions(group: MemberGroup): GroupSupervisorOptions;
   /** Runs a loop that must not end with an error. */
@@ -16,10 +16,10 @@
 }
 
 /** The supervisors of the groups, by group name; none while the duty is not held. */
-export class Supervision {
+export class GroupSupervisors {
   readonly #supervisors = new Map<string, GroupSupervisor>();
 
-  constructor(private readonly options: SupervisionOptions) {}
+  constructor(private readonly options: GroupSupervisorsOptions) {}
 
   /** Starts a supervisor for a group, in place of an earlier one. */
   begin(group: MemberGroup): void {
--- a/src/leadership/last-moment.test.ts
+++ b/src/leadership/last-moment.test.ts
@@ -13,8 +13,8 @@
 import { FIRST_TERM, ModelledGroup, type GroupMember } from '../../test/support/modelled-group.js';
 import type { Position } from '../position/position.js';
 import { Member, MemberGroup } from '../topology/member-group.js';
-import { EVIDENCE_MS } from './leadership-evidence.js';
-import { LostLives } from './lost-lives.js';
+import { EVIDENCE_VALIDITY_MS } from './leadership-evidence.js';
+import { LostIncarnations } from './lost-incarnations.js';
 
 const EMPTY: Position = { term: 0, index: 0 };
 /** When a replica starts, after the first pauses, in milliseconds: while silent daemons are waited for. */
@@ -72,7 +72,10 @@
     scene.supervisor.stop();
     const waitedMs = performance.now() - pausedAtMs;
     const isCalled = scene.events.includes('promote named');
-    assert.ok(!isCalled || waitedMs >= EVIDENCE_MS - TIMER_MS, `called after ${Math.round(waitedMs)} ms`);
+    assert.ok(
+      !isCalled || waitedMs >= EVIDENCE_VALIDITY_MS - TIMER_MS,
+      `called after ${Math.round(waitedMs)} ms`,
+    );
   });
 
   /** Nobody knows what a daemon had acknowledged that is gone; the replica that is silent may have received more since its pause was lost. */
@@ -134,7 +137,7 @@
     before.hasEnded = true;
     scene.group.keepFormer(before);
     scene.group.members.set('old', new Member({ ...before.entry, bornMs: 7 }, {} as MemberConnections));
-    scene.group.evidence.loseLeader();
+    scene.group.evidence.clearLeader();
   }
 
   /**
@@ -183,11 +186,11 @@
   test('has a leader whose late answer is no floor of reads at the next one', () => {
     const group = new MemberGroup('g');
     const old = { memberId: 'old', term: 3 };
-    group.evidence.believe(old);
-    group.evidence.witness(3, 0, 1000);
+    group.evidence.observeLeader(old);
+    group.evidence.recordWitness(3, 0, 1000);
     group.recordLed(1000, { term: 3, index: 10 }, old);
-    group.evidence.believe({ memberId: 'new', term: 4 });
-    group.evidence.witness(4, 0, 1500);
+    group.evidence.observeLeader({ memberId: 'new', term: 4 });
+    group.evidence.recordWitness(4, 0, 1500);
     group.recordLed(1100, { term: 3, index: 12 }, old);
     assert.equal(group.heldByLeader, null);
   });
@@ -197,7 +200,7 @@
   /** Evidence: the only member that has a commit is dark; it is taken for the leader since it stands first, and counted nowhere. */
   test('are not taken for the leader because they stand first', async () => {
     const scene = new ModelledGroup(['far', 'old', 'other']);
-    scene.group.evidence.loseLeader();
+    scene.group.evidence.clearLeader();
     const [far, old, other] = [scene.member('far'), scene.member('old'), scene.member('other')];
     far.isPrimary = false;
     far.received = { term: FIRST_TERM, index: 2 };
@@ -212,12 +215,12 @@
   });
 
   test('are not bounded by a position that was asked for before the loss was noticed', () => {
-    const lost = new LostLives();
+    const lost = new LostIncarnations();
     const member = { entry: { memberId: 'x', bornMs: null } } as unknown as Member;
     const status = { isPrimary: false, term: 3, pausedForTerm: 0 };
-    lost.heard(member, { ...status, received: { term: 3, index: 5 } }, 0);
-    lost.heard(member, { ...status, received: EMPTY }, 20);
-    lost.record({ term: 3, index: 100 }, 10);
+    lost.recordStatus(member, { ...status, received: { term: 3, index: 5 } }, 0);
+    lost.recordStatus(member, { ...status, received: EMPTY }, 20);
+    lost.recordLeaderPosition({ term: 3, index: 100 }, 10);
     assert.equal(lost.uncovered([{ term: 3, index: 100 }], null, 30).length, 1);
   });
 });
--- a/src/leadership/leadership-evidence.ts
+++ b/src/leadership/leadership-evidence.ts
@@ -3,7 +3,7 @@
  *
  * A promotion pauses every replica of the group before it makes one of them the leader. A replica that
  * reports, queried at time *s*, that it follows term *t* and is not paused therefore proves that no member
- * had been promoted over the leader of *t* at *s*. Such an answer is valid until *s* + {@link EVIDENCE_MS}.
+ * had been promoted over the leader of *t* at *s*. Such an answer is valid until *s* + {@link EVIDENCE_VALIDITY_MS}.
  * After its pauses, a promotion waits that long for every daemon that has not confirmed that it revoked its
  * evidence.
  *
@@ -14,7 +14,7 @@
  */
 
 /** Validity of an answer of a witness, from the time at which the witness was queried, in milliseconds. */
-export const EVIDENCE_MS = 1600;
+export const EVIDENCE_VALIDITY_MS = 1600;
 
 /** Age of evidence at which a daemon that supplies others with evidence renews it, in milliseconds. */
 export const HOLDER_RENEWAL_MS = 500;
@@ -66,7 +66,7 @@
  * leader without taking the commit into account; `replaced`: a later term has a leader; `unproven`: neither
  * is known.
  */
-export type CommitStanding = 'proven' | 'unproven' | 'replaced';
+export type CommitStatus = 'proven' | 'unproven' | 'replaced';
 
 /** What one daemon knows about the leadership of one group. */
 export class LeadershipEvidence {
@@ -115,7 +115,7 @@
   }
 
   /** The duty has changed hands: a confirmation under it is no longer valid. */
-  unconfirm(): void {
+  clearConfirmation(): void {
     this.#isConfirmed = false;
   }
 
@@ -123,9 +123,9 @@
    * Renews the evidence of a confirmed leader without a witness: no other daemon can promote before
    * `untilMs`.
    */
-  vouch(untilMs: number, nowMs: number): void {
+  renewUnderDuty(untilMs: number, nowMs: number): void {
     if (!this.#isConfirmed) return;
-    this.#validUntilMs = Math.max(this.#validUntilMs, Math.min(untilMs, nowMs + EVIDENCE_MS));
+    this.#validUntilMs = Math.max(this.#validUntilMs, Math.min(untilMs, nowMs + EVIDENCE_VALIDITY_MS));
   }
 
   /** The leader, if there is valid evidence at `nowMs`. */
@@ -138,7 +138,7 @@
    *
    * @returns true when the leader or its term has changed
    */
-  believe(leader: Leader): boolean {
+  observeLeader(leader: Leader): boolean {
     if (leader.term < this.#minimumTerm) return false;
     if (this.#leader !== null && leader.term < this.#leader.term) return false;
     if (this.#leader?.memberId === leader.memberId && this.#leader.term === leader.term) return false;
@@ -155,24 +155,24 @@
    *
    * @returns true when that is evidence for the leader
    */
-  witness(term: number, pausedForTerm: number, askedAtMs: number): boolean {
+  recordWitness(term: number, pausedForTerm: number, askedAtMs: number): boolean {
     const leader = this.#leader;
     if (term > this.#minimumTerm) this.#minimumTerm = term;
     if (leader === null || leader.term !== term) {
-      if (leader !== null && leader.term < term) this.loseLeader();
+      if (leader !== null && leader.term < term) this.clearLeader();
       return false;
     }
     if (pausedForTerm > term || askedAtMs < this.countsFromMs()) return false;
     if (term <= this.#revokedUpToTerm && askedAtMs < this.#revokedUntilMs) return false;
-    this.#validUntilMs = Math.max(this.#validUntilMs, askedAtMs + EVIDENCE_MS);
+    this.#validUntilMs = Math.max(this.#validUntilMs, askedAtMs + EVIDENCE_VALIDITY_MS);
     return true;
   }
 
   /** Records that a member follows this term: no earlier term has a leader any more. */
-  noteTerm(term: number): void {
+  observeTerm(term: number): void {
     if (term <= this.#minimumTerm) return;
     this.#minimumTerm = term;
-    if (this.#leader !== null && this.#leader.term < term) this.loseLeader();
+    if (this.#leader !== null && this.#leader.term < term) this.clearLeader();
   }
 
   /**
@@ -209,7 +209,7 @@
    * at that moment, not only when the commit was sent: a promotion takes into account the commits that were
    * acknowledged before the evidence expired.
    */
-  standing(term: number, nowMs: number): CommitStanding {
+  commitStatus(term: number, nowMs: number): CommitStatus {
     if (term < this.#minimumTerm) return 'replaced';
     if (this.#leader?.term === term && nowMs < this.#validUntilMs) return 'proven';
     if (this.#revocationGrace?.term === term && nowMs < this.#revocationGrace.untilMs) return 'proven';
@@ -217,12 +217,12 @@
   }
 
   /** The promotion was abandoned, and its pauses are lifted: evidence may be gathered again. */
-  allowAgain(): void {
+  liftRevocation(): void {
     this.#revokedUntilMs = Number.NEGATIVE_INFINITY;
   }
 
   /** The leader has reported, or another member has shown, that it no longer leads. */
-  loseLeader(): void {
+  clearLeader(): void {
     this.#leader = null;
     this.#isConfirmed = false;
     this.#validUntilMs = Number.NEGATIVE_INFINITY;
--- a/src/leadership/leadership-watcher.ts
+++ b/src/leadership/leadership-watcher.ts
@@ -8,7 +8,7 @@
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import {
   DUTY_SETTLE_MS,
-  EVIDENCE_MS,
+  EVIDENCE_VALIDITY_MS,
   HOLDER_RENEWAL_MS,
   OWN_RENEWAL_MS,
   WITNESS_KNOWN_MS,
@@ -98,7 +98,7 @@
   #renewalDueInMs(): number {
     const isSupplier = this.heldDuty() !== null || this.suppliesEvidence();
     const renewalMs = isSupplier ? HOLDER_RENEWAL_MS : OWN_RENEWAL_MS;
-    return this.group.evidence.validUntilMs - (EVIDENCE_MS - renewalMs) - this.now();
+    return this.group.evidence.validUntilMs - (EVIDENCE_VALIDITY_MS - renewalMs) - this.now();
   }
 
   #nextRetryDelayMs(): number {
@@ -126,7 +126,7 @@
     const now = this.now();
     if (duty === null || !evidence.isConfirmed || now - this.#confirmedAtMs > RECONFIRM_INTERVAL_MS)
       return false;
-    evidence.vouch(duty.untilMs, now);
+    evidence.renewUnderDuty(duty.untilMs, now);
     if (this.#renewalDueInMs() <= 0) return false;
     this.group.changed.notify();
     return true;
@@ -188,10 +188,10 @@
     const { status, askedAtMs } = answer;
     const { evidence } = this.group;
     if (!isWitnessAt(member, askedAtMs)) {
-      evidence.noteTerm(status.term);
+      evidence.observeTerm(status.term);
       return false;
     }
-    const isEvidence = evidence.witness(status.term, status.pausedForTerm, askedAtMs);
+    const isEvidence = evidence.recordWitness(status.term, status.pausedForTerm, askedAtMs);
     if (!isEvidence) return false;
     // The leader holds whatever a replica has received in the term.
     if (evidence.leader !== null) {
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -10,21 +10,21 @@
 import { joinAcknowledged, type Acknowledged } from './acknowledged.js';
 import { chooseSuccessor } from './choose-successor.js';
 import { LeaderSuspicions } from './leader-suspicions.js';
-import { EVIDENCE_MS, LeadershipEvidence, REVOCATION_MS } from './leadership-evidence.js';
+import { EVIDENCE_VALIDITY_MS, LeadershipEvidence, REVOCATION_MS } from './leadership-evidence.js';
 import { PositionHistory } from './position-history.js';
 import { MemberGroup } from '../topology/member-group.js';
 
 function ledBy(memberId: string, term: number): LeadershipEvidence {
   const evidence = new LeadershipEvidence();
-  evidence.believe({ memberId, term });
+  evidence.observeLeader({ memberId, term });
   return evidence;
 }
 
 /** A group whose leader is proven from time 0 on. */
 function ledGroup(): MemberGroup {
   const group = new MemberGroup('g');
-  group.evidence.believe({ memberId: 'a', term: 1 });
-  group.evidence.witness(1, 0, 0);
+  group.evidence.observeLeader({ memberId: 'a', term: 1 });
+  group.evidence.recordWitness(1, 0, 0);
   return group;
 }
 
@@ -32,79 +32,79 @@
   test('expires after its validity, counted from the query', () => {
     const evidence = ledBy('a', 3);
     assert.equal(evidence.current(1000), null);
-    assert.ok(evidence.witness(3, 0, 1000));
-    assert.equal(evidence.current(1000 + EVIDENCE_MS - 1)?.memberId, 'a');
-    assert.equal(evidence.current(1000 + EVIDENCE_MS), null);
+    assert.ok(evidence.recordWitness(3, 0, 1000));
+    assert.equal(evidence.current(1000 + EVIDENCE_VALIDITY_MS - 1)?.memberId, 'a');
+    assert.equal(evidence.current(1000 + EVIDENCE_VALIDITY_MS), null);
   });
 
   test('is not given by a paused witness, nor by one of another term', () => {
     const evidence = ledBy('a', 3);
-    assert.ok(!evidence.witness(3, 4, 1000));
-    assert.ok(!evidence.witness(2, 0, 1000));
+    assert.ok(!evidence.recordWitness(3, 4, 1000));
+    assert.ok(!evidence.recordWitness(2, 0, 1000));
     assert.equal(evidence.current(1001), null);
-    assert.ok(!evidence.witness(4, 0, 1000));
+    assert.ok(!evidence.recordWitness(4, 0, 1000));
     assert.equal(evidence.leader, null, 'a later term shows that the leader is replaced');
-    assert.ok(!evidence.believe({ memberId: 'a', term: 3 }));
-    assert.ok(evidence.believe({ memberId: 'b', term: 4 }));
+    assert.ok(!evidence.observeLeader({ memberId: 'a', term: 3 }));
+    assert.ok(evidence.observeLeader({ memberId: 'b', term: 4 }));
   });
 
   test('is not valid before a promotion can know this daemon', () => {
     let countsFromMs = Number.POSITIVE_INFINITY;
     const evidence = new LeadershipEvidence(() => countsFromMs);
-    evidence.believe({ memberId: 'a', term: 3 });
-    assert.ok(!evidence.witness(3, 0, 1000));
+    evidence.observeLeader({ memberId: 'a', term: 3 });
+    assert.ok(!evidence.recordWitness(3, 0, 1000));
     countsFromMs = 1500;
-    assert.ok(!evidence.witness(3, 0, 1499));
-    assert.ok(evidence.witness(3, 0, 1500));
+    assert.ok(!evidence.recordWitness(3, 0, 1499));
+    assert.ok(evidence.recordWitness(3, 0, 1500));
   });
 
   test('is not gathered for a revoked term for a while, not even from the answer to an older query', () => {
     const evidence = ledBy('a', 3);
-    evidence.witness(3, 0, 1000);
+    evidence.recordWitness(3, 0, 1000);
     evidence.revoke(3, 1100);
     assert.equal(evidence.current(1101), null);
-    assert.ok(!evidence.witness(3, 0, 1099));
-    assert.ok(!evidence.witness(3, 0, 1100 + REVOCATION_MS - 1));
-    assert.ok(evidence.witness(3, 0, 1100 + REVOCATION_MS));
+    assert.ok(!evidence.recordWitness(3, 0, 1099));
+    assert.ok(!evidence.recordWitness(3, 0, 1100 + REVOCATION_MS - 1));
+    assert.ok(evidence.recordWitness(3, 0, 1100 + REVOCATION_MS));
     evidence.revoke(3, 3000);
-    evidence.allowAgain();
-    assert.ok(evidence.witness(3, 0, 3001));
+    evidence.liftRevocation();
+    assert.ok(evidence.recordWitness(3, 0, 3001));
   });
 
   test('of a later leader is not affected by the revocation of an earlier term', () => {
     const evidence = ledBy('b', 4);
-    evidence.witness(4, 0, 1000);
+    evidence.recordWitness(4, 0, 1000);
     evidence.revoke(3, 1001);
     assert.equal(evidence.current(1002)?.memberId, 'b');
   });
 
   test('is renewed under the duty only for a confirmed leader, and only while the duty is held', () => {
     const evidence = ledBy('a', 3);
-    evidence.vouch(9000, 1000);
+    evidence.renewUnderDuty(9000, 1000);
     assert.equal(evidence.current(1001), null);
     evidence.confirm();
-    evidence.vouch(1500, 1000);
+    evidence.renewUnderDuty(1500, 1000);
     assert.equal(evidence.current(1499)?.memberId, 'a');
     assert.equal(evidence.current(1500), null);
-    evidence.vouch(90_000, 2000);
-    assert.equal(evidence.current(2000 + EVIDENCE_MS), null);
-    evidence.unconfirm();
-    evidence.vouch(90_000, 8000);
+    evidence.renewUnderDuty(90_000, 2000);
+    assert.equal(evidence.current(2000 + EVIDENCE_VALIDITY_MS), null);
+    evidence.clearConfirmation();
+    evidence.renewUnderDuty(90_000, 8000);
     assert.equal(evidence.current(8001), null);
   });
 
   test('is not renewed under the duty after a revocation, a loss, or a change of the leader', () => {
     const ends: ((evidence: LeadershipEvidence) => void)[] = [
       (evidence) => evidence.revoke(3, 1000),
-      (evidence) => evidence.loseLeader(),
-      (evidence) => void evidence.believe({ memberId: 'b', term: 4 }),
-      (evidence) => void evidence.witness(5, 0, 1000),
+      (evidence) => evidence.clearLeader(),
+      (evidence) => void evidence.observeLeader({ memberId: 'b', term: 4 }),
+      (evidence) => void evidence.recordWitness(5, 0, 1000),
     ];
     for (const end of ends) {
       const evidence = ledBy('a', 3);
       evidence.confirm();
       end(evidence);
-      evidence.vouch(9000, 1001);
+      evidence.renewUnderDuty(9000, 1001);
       assert.equal(evidence.current(1002), null);
     }
   });
@@ -128,7 +128,7 @@
    */
   test('a position that goes back within a term is no floor, because another incarnation reported it', () => {
     const group = new MemberGroup('g');
-    group.evidence.believe({ memberId: 'a', term: 1 });
+    group.evidence.observeLeader({ memberId: 'a', term: 1 });
     group.recordLed(1000, { term: 1, index: 30 });
     group.recordLed(1100, ZERO_POSITION);
     assert.deepEqual(group.positions.floorSince(900)?.position, { term: 1, index: 30 });
@@ -217,21 +217,21 @@
   test('a commit is acknowledged only with evidence at the time of its answer', () => {
     const group = new MemberGroup('g');
     assert.equal(group.acknowledge(at(3), 0), 'unproven', 'no leader is known');
-    group.evidence.believe({ memberId: 'a', term: at(3).term });
+    group.evidence.observeLeader({ memberId: 'a', term: at(3).term });
     assert.equal(group.acknowledge(at(3), 0), 'unproven', 'no witness has answered');
-    group.evidence.witness(at(3).term, 0, 0);
-    assert.equal(group.acknowledge(at(3), EVIDENCE_MS - 1), 'proven');
-    assert.equal(group.acknowledge(at(4), EVIDENCE_MS), 'unproven', 'the evidence has expired');
+    group.evidence.recordWitness(at(3).term, 0, 0);
+    assert.equal(group.acknowledge(at(3), EVIDENCE_VALIDITY_MS - 1), 'proven');
+    assert.equal(group.acknowledge(at(4), EVIDENCE_VALIDITY_MS), 'unproven', 'the evidence has expired');
     assert.deepEqual(group.acknowledged.latest, at(3));
-    group.evidence.believe({ memberId: 'b', term: at(3).term + 1 });
-    assert.equal(group.acknowledge(at(4), EVIDENCE_MS), 'replaced');
+    group.evidence.observeLeader({ memberId: 'b', term: at(3).term + 1 });
+    assert.equal(group.acknowledge(at(4), EVIDENCE_VALIDITY_MS), 'replaced');
   });
 
   test('commits under way at a revocation are acknowledged for as long as the evidence would have been valid', () => {
     const group = ledGroup();
     group.evidence.revoke(at(3).term, 10);
-    assert.equal(group.acknowledge(at(4), EVIDENCE_MS - 1), 'proven');
-    assert.equal(group.acknowledge(at(5), EVIDENCE_MS), 'unproven');
+    assert.equal(group.acknowledge(at(4), EVIDENCE_VALIDITY_MS - 1), 'proven');
+    assert.equal(group.acknowledge(at(5), EVIDENCE_VALIDITY_MS), 'unproven');
   });
 
   test('after its last word to a promotion a daemon acknowledges nothing of the old term, until it is given up', () => {
@@ -240,10 +240,10 @@
     group.evidence.revoke(at(3).term, 8);
     group.evidence.seal(at(3).term, 10);
     assert.equal(group.acknowledge(at(4), 20), 'unproven');
-    assert.ok(!group.evidence.witness(at(3).term, 0, 20), 'no evidence is gathered');
-    group.evidence.allowAgain();
+    assert.ok(!group.evidence.recordWitness(at(3).term, 0, 20), 'no evidence is gathered');
+    group.evidence.liftRevocation();
     assert.equal(group.acknowledge(at(5), 20), 'unproven', 'the old evidence is not restored');
-    assert.ok(group.evidence.witness(at(3).term, 0, 21));
+    assert.ok(group.evidence.recordWitness(at(3).term, 0, 21));
     assert.equal(group.acknowledge(at(5), 22), 'proven');
     group.evidence.seal(at(3).term, 30);
     assert.equal(
@@ -257,8 +257,8 @@
     let hasForgotten = true;
     const group = new MemberGroup('g', undefined, () => hasForgotten);
     assert.deepEqual(group.acknowledged, UNKNOWN);
-    group.evidence.believe({ memberId: 'a', term: at(3).term });
-    group.evidence.witness(at(3).term, 0, 0);
+    group.evidence.observeLeader({ memberId: 'a', term: at(3).term });
+    group.evidence.recordWitness(at(3).term, 0, 0);
     assert.equal(group.acknowledge(at(3), 0), 'proven');
     group.recordLed(10, at(4));
     group.recordLed(20, at(9));
--- a/src/leadership/past-lives.test.ts
+++ b/src/leadership/lost-incarnations.test.ts
@@ -8,7 +8,7 @@
 import { ZERO_POSITION, type Position } from '../position/position.js';
 import type { MemberStatus } from '../relay/member-link.js';
 import type { Member } from '../topology/member-group.js';
-import { LostLives } from './lost-lives.js';
+import { LostIncarnations } from './lost-incarnations.js';
 import { StepDowns } from './step-downs.js';
 
 const TERM = 3;
@@ -25,37 +25,37 @@
 const RESTARTED = { entry: { memberId: 'x', bornMs: null } } as unknown as Member;
 
 /** Number of members with a lost incarnation that is not covered by a replica at the position `furthest`. */
-function uncoveredCount(lost: LostLives, furthest: Position, nowMs = 10): number {
+function uncoveredCount(lost: LostIncarnations, furthest: Position, nowMs = 10): number {
   return lost.uncovered([furthest], null, nowMs).length;
 }
 
 describe('a log that has become shorter', () => {
   test('is a loss, though it is not empty', () => {
-    const lost = new LostLives();
-    lost.heard(RESTARTED, status(at(9)), 0);
-    lost.heard(RESTARTED, status(at(4)), 1);
+    const lost = new LostIncarnations();
+    lost.recordStatus(RESTARTED, status(at(9)), 0);
+    lost.recordStatus(RESTARTED, status(at(4)), 1);
     assert.equal(uncoveredCount(lost, at(9)), 1);
   });
 
   test('is no loss where a promotion truncated what the new leader lacked', () => {
-    const lost = new LostLives();
-    lost.heard(RESTARTED, status(at(9)), 0);
-    lost.heard(RESTARTED, status(at(8), TERM + 1), 1);
+    const lost = new LostIncarnations();
+    lost.recordStatus(RESTARTED, status(at(9)), 0);
+    lost.recordStatus(RESTARTED, status(at(8), TERM + 1), 1);
     assert.equal(uncoveredCount(lost, at(9)), 0);
   });
 
   test('is covered by a replica that has come as far as the leader was after it', () => {
-    const lost = new LostLives();
-    lost.heard(RESTARTED, status(at(9)), 0);
-    lost.heard(RESTARTED, status(ZERO_POSITION), 1);
-    lost.record(at(12), 2);
+    const lost = new LostIncarnations();
+    lost.recordStatus(RESTARTED, status(at(9)), 0);
+    lost.recordStatus(RESTARTED, status(ZERO_POSITION), 1);
+    lost.recordLeaderPosition(at(12), 2);
     assert.equal(uncoveredCount(lost, at(11)), 1);
     assert.equal(uncoveredCount(lost, at(12)), 0);
   });
 
   test('counts as a loss for a limited time, and not in a group without entries', () => {
-    const lost = new LostLives();
-    lost.heard(RESTARTED, status(ZERO_POSITION), 0);
+    const lost = new LostIncarnations();
+    lost.recordStatus(RESTARTED, status(ZERO_POSITION), 0);
     assert.equal(uncoveredCount(lost, ZERO_POSITION), 0);
     assert.equal(uncoveredCount(lost, at(1), LOSS_TTL_MS - 1), 1);
     assert.equal(uncoveredCount(lost, at(1), LOSS_TTL_MS), 0);
--- a/src/leadership/lost-lives.ts
+++ b/src/leadership/lost-incarnations.ts
@@ -35,12 +35,12 @@
 }
 
 /** The lost incarnations that one supervisor has detected. */
-export class LostLives {
+export class LostIncarnations {
   readonly #lastStatus = new Map<string, LastStatus>();
   readonly #losses = new Map<string, LostIncarnation>();
 
   /** Records the status of a member that does not lead, and detects a loss. */
-  heard(member: Member, { received, term }: MemberStatus, nowMs: number): void {
+  recordStatus(member: Member, { received, term }: MemberStatus, nowMs: number): void {
     const { memberId } = member.entry;
     const known = this.#lastStatus.get(memberId);
     this.#lastStatus.set(memberId, { received, term });
@@ -49,12 +49,12 @@
   }
 
   /** True while the leader has to be queried for its log position. */
-  get isLimitOpen(): boolean {
+  get needsLeaderPosition(): boolean {
     return [...this.#losses.values()].some(({ limit }) => limit === null);
   }
 
   /** The proven leader, queried at `askedAtMs`, reported a position. It bounds what was lost before. */
-  record(position: Position, askedAtMs: number): void {
+  recordLeaderPosition(position: Position, askedAtMs: number): void {
     for (const loss of this.#losses.values()) if (loss.sinceMs <= askedAtMs) loss.limit ??= position;
   }
 
--- a/src/leadership/member-control.ts
+++ b/src/leadership/member-control.ts
@@ -148,7 +148,7 @@
   async #waitForPooled(member: Member, timeoutMs: number): Promise<PooledLink | ControlAnswer | null> {
     const { own, hasGateways, isAssigned } = member.pool;
     const mustWait = hasGateways && isAssigned && !this.options.mayConnect();
-    if (!own.isUnopened && !mustWait) return null;
+    if (!own.canOpenFirst && !mustWait) return null;
     const dueAtMs = this.options.now() + timeoutMs;
     const demand = ownDemand(dueAtMs);
     try {
--- a/src/leadership/position-history.ts
+++ b/src/leadership/position-history.ts
@@ -9,7 +9,7 @@
 import { comparePositions, type Position } from '../position/position.js';
 
 /** A position that the proven leader reported. */
-export interface LedSample {
+export interface LeaderPositionSample {
   /** Monotonic time at which the leader was queried, in milliseconds. */
   readonly askedAtMs: number;
   readonly position: Position;
@@ -35,7 +35,7 @@
 
 /** The recent positions of the leader of one group. */
 export class PositionHistory {
-  #samples: LedSample[] = [];
+  #samples: LeaderPositionSample[] = [];
 
   /** Records a position that the leader reported under valid evidence when it was queried at `askedAtMs`. */
   record(askedAtMs: number, position: Position): void {
@@ -48,7 +48,7 @@
   }
 
   /** The newest position, with the time at which the leader was queried; `null` before the first. */
-  get newest(): LedSample | null {
+  get newest(): LeaderPositionSample | null {
     return this.#samples.at(-1) ?? null;
   }
 
--- a/src/leadership/doubts-that-end.test.ts
+++ b/src/leadership/promotion-after-restarts.test.ts
@@ -70,7 +70,7 @@
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'one', 'log');
     fixture.retire('old');
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.member('old').isPrimary = false;
     assert.ok(await isPromotedWithin(fixture, PROMOTION_TIMEOUT_MS), fixture.events.join(', '));
     assert.ok(hasReached(leaderPosition(fixture), COMMIT), fixture.events.join(', '));
@@ -82,7 +82,7 @@
   test('are missing no more where another daemon knows who led', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'old', 'nothing');
     startNextLife(fixture, 'one', 'log');
@@ -97,7 +97,7 @@
   test('are missing where nobody knows who led', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'one', 'nothing');
     startNextLife(fixture, 'two', 'log');
@@ -115,7 +115,7 @@
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     fixture.member('two').isDeaf = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     fixture.group.members.delete('old');
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'one', 'nothing');
@@ -135,7 +135,7 @@
     startNextLife(fixture, 'spare', 'log');
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
-    fixture.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    fixture.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     const spare = fixture.group.members.get('spare');
     assert.ok(spare);
     spare.missingSinceMs = performance.now();
@@ -160,7 +160,7 @@
    */
   test('are not promoted over by leaving out a member that leaves and that nobody knows to lead', async () => {
     const fixture = new ModelledGroup(['far', 'old', 'other']);
-    fixture.group.evidence.loseLeader();
+    fixture.group.evidence.clearLeader();
     const far = fixture.group.members.get('far');
     assert.ok(far);
     far.leavingSinceMs = performance.now();
--- a/src/leadership/promotion-loss.test.ts
+++ b/src/leadership/promotion-loss.test.ts
@@ -85,7 +85,7 @@
     const scene = new ModelledGroup(['old', 'leaving', 'other']);
     scene.retire('leaving');
     scene.daemons.set('d2', { kind: 'silent' });
-    scene.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    scene.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     prepare(scene);
     scene.member('leaving').state = 'ended';
     const running = scene.supervisor.run();
@@ -212,7 +212,7 @@
 
   test('leaves it to the next one, who finishes the promotion though the old primary is proven to lead', async () => {
     const scene = new ModelledGroup(['old', 'one', 'other']);
-    scene.group.evidence.witness(FIRST_TERM, 0, performance.now());
+    scene.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     scene.member('other').pausedForTerm = FIRST_TERM + 1;
     await scene.until('promotion_ends');
     assert.equal(scene.member('other').pausedForTerm, 0);
--- a/src/leadership/promotion.ts
+++ b/src/leadership/promotion.ts
@@ -18,7 +18,7 @@
 import { joinAcknowledged, type Acknowledged } from './acknowledged.js';
 import { appoint, LATE_CALL_MS, type AppointmentOutcome } from './appointment.js';
 import { chooseSuccessor, type SuccessorCandidate } from './choose-successor.js';
-import { EVIDENCE_MS, REGISTRATION_SETTLE_MS } from './leadership-evidence.js';
+import { EVIDENCE_VALIDITY_MS, REGISTRATION_SETTLE_MS } from './leadership-evidence.js';
 import type { GroupSupervisorOptions } from './group-supervisor.js';
 import { lifeThatLed, type LastLed } from './last-led.js';
 import type { LeaderLoss } from './leader-loss.js';
@@ -185,7 +185,8 @@
     this.#letGoAtMs = options.now();
     const outcomes = new Map([...first, ...(await this.#revokeStarted(first))]);
     this.#isOneSilent = hasSilent(outcomes);
-    if (this.#isOneSilent || this.#isLate(pausedAtMs)) await this.#waitRevoked(pausedAtMs + EVIDENCE_MS);
+    if (this.#isOneSilent || this.#isLate(pausedAtMs))
+      await this.#waitRevoked(pausedAtMs + EVIDENCE_VALIDITY_MS);
     return { pauses, outcomes };
   }
 
@@ -245,7 +246,7 @@
     const heardAtMs = options.now();
     const areAllHeard = [...words].every(([name, { kind }]) => silent.has(name) || kind !== 'silent');
     if (!areAllHeard) this.#isOneSilent = true;
-    if (!areAllHeard) await this.#waitRevoked(this.#letGoAtMs + EVIDENCE_MS);
+    if (!areAllHeard) await this.#waitRevoked(this.#letGoAtMs + EVIDENCE_VALIDITY_MS);
     const told = [...outcomes].map(([name, outcome]) => {
       const word = words.get(name);
       return word?.kind === 'answered' ? word : asUnheardSince(outcome);
@@ -370,7 +371,8 @@
   /** A replica that was paused late may have given evidence to a daemon that is silent, or has registered since the beginning. */
   async #waitForLatePause(): Promise<void> {
     const pausedAtMs = this.ports.options.now();
-    if (this.#isOneSilent || this.#isLate(pausedAtMs)) await this.#waitRevoked(pausedAtMs + EVIDENCE_MS);
+    if (this.#isOneSilent || this.#isLate(pausedAtMs))
+      await this.#waitRevoked(pausedAtMs + EVIDENCE_VALIDITY_MS);
   }
 
   /** True when a daemon that has registered since the beginning may count evidence at that time. */
@@ -381,7 +383,7 @@
   /** A later term is followed by somebody: whoever leads it may not be among those that were asked, and daemons confirm what it answers. */
   #isSuperseded(): boolean {
     const { group, pauses } = this.ports;
-    group.evidence.noteTerm(pauses.latestTerm);
+    group.evidence.observeTerm(pauses.latestTerm);
     return group.evidence.minimumTerm > this.#term;
   }
 
@@ -484,7 +486,7 @@
       replaced: isReplaced,
     });
     if (isReplaced) {
-      group.evidence.believe({ memberId, term: status.term });
+      group.evidence.observeLeader({ memberId, term: status.term });
       return {
         kind: 'again',
         leader: successor.member,
@@ -539,7 +541,7 @@
   #announce({ entry: { memberId } }: Member, { term, received }: MemberStatus): void {
     const { options, group, openCalls } = this.ports;
     group.learnLeader({ memberId, term }, received);
-    options.confirmLeader();
+    options.leaderPromoted();
     const furtherCall = openCalls.untilMs > options.now() ? this.#openCall() : {};
     const news = { kind: 'leader', groupName: group.name, memberId, term, held: received } as const;
     void options.order({ ...news, ...furtherCall }, ORDER_MS);
@@ -577,7 +579,7 @@
     const { options, group } = this.ports;
     if (this.ports.fence(0) === null) return;
     await this.#resume([...this.#paused]);
-    group.evidence.allowAgain();
+    group.evidence.liftRevocation();
     void options.order({ kind: 'allow', groupName: group.name }, ORDER_MS);
   }
 
--- a/src/leadership/replica-pauses.ts
+++ b/src/leadership/replica-pauses.ts
@@ -7,7 +7,7 @@
 import type { Incarnation } from '../topology/incarnation.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import type { EndedMembers } from './ended-members.js';
-import type { LostLives } from './lost-lives.js';
+import type { LostIncarnations } from './lost-incarnations.js';
 import type { MemberControl } from './member-control.js';
 import { describeAnswer, type MissingLife } from './missing-life.js';
 
@@ -59,7 +59,7 @@
     private readonly control: MemberControl,
     private readonly group: MemberGroup,
     private readonly ended: EndedMembers,
-    private readonly lost: LostLives,
+    private readonly lost: LostIncarnations,
     private readonly now: () => number,
   ) {}
 
@@ -176,7 +176,7 @@
   /** `null` for one that is not paused. */
   #take(member: Member, status: MemberStatus, term: number): Paused | null {
     if (!this.#demoted.has(member)) this.noteTerm(status.term);
-    if (!status.isPrimary) this.lost.heard(member, status, this.now());
+    if (!status.isPrimary) this.lost.recordStatus(member, status, this.now());
     return toPaused(member, status, term);
   }
 
--- a/src/relay/commit-proof.test.ts
+++ b/src/relay/commit-proof.test.ts
@@ -11,7 +11,7 @@
 import { describe, test } from 'node:test';
 import { QUIET_OBSERVER } from '../../test/support/quiet-observer.js';
 import { ALWAYS_PROVEN, NO_QUOTAS } from '../../test/support/no-tenancy.js';
-import { EVIDENCE_MS } from '../leadership/leadership-evidence.js';
+import { EVIDENCE_VALIDITY_MS } from '../leadership/leadership-evidence.js';
 import { Catalog } from '../topology/catalog.js';
 import { MemberGroup } from '../topology/member-group.js';
 import { proveCommit } from './commit-proof.js';
@@ -31,12 +31,12 @@
 }
 
 /** Answers a commit in a group whose evidence has the given age. */
-function answerCommit(evidenceAgeMs = EVIDENCE_MS): Scene {
+function answerCommit(evidenceAgeMs = EVIDENCE_VALIDITY_MS): Scene {
   const group = new MemberGroup('g');
   const now = performance.now();
   const decisions: string[] = [];
-  group.evidence.believe({ memberId: 'm', term: TERM });
-  group.evidence.witness(TERM, 0, now - evidenceAgeMs);
+  group.evidence.observeLeader({ memberId: 'm', term: TERM });
+  group.evidence.recordWitness(TERM, 0, now - evidenceAgeMs);
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -45,7 +45,7 @@
     observer: { ...QUIET_OBSERVER, notable: ({ decision }) => void decisions.push(decision) },
     group: () => group,
     now: () => performance.now(),
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     readStatus: () => null,
     suspect: () => undefined,
   };
@@ -64,7 +64,7 @@
   test('is acknowledged once there is evidence again', async () => {
     const { group, proof, decisions } = answerCommit();
     assert.deepEqual(group.acknowledged.latest.index, 0);
-    group.evidence.witness(TERM, 0, performance.now());
+    group.evidence.recordWitness(TERM, 0, performance.now());
     group.changed.notify();
     assert.ok(await proof);
     assert.deepEqual(group.acknowledged.latest, POSITION);
@@ -74,7 +74,7 @@
   test('is in doubt as soon as a later term leads', async () => {
     const { group, proof } = answerCommit();
     const startedMs = performance.now();
-    group.evidence.believe({ memberId: 'n', term: TERM + 1 });
+    group.evidence.observeLeader({ memberId: 'n', term: TERM + 1 });
     group.changed.notify();
     assert.ok(!(await proof));
     assert.ok(performance.now() - startedMs < TIMEOUT_MS);
--- a/src/relay/commit-proof.ts
+++ b/src/relay/commit-proof.ts
@@ -9,7 +9,7 @@
  * @packageDocumentation
  */
 import { formatPosition, type Position } from '../position/position.js';
-import type { CommitStanding } from '../leadership/leadership-evidence.js';
+import type { CommitStatus } from '../leadership/leadership-evidence.js';
 import type { MemberGroup } from '../topology/member-group.js';
 import type { RelayContext } from './relay-context.js';
 
@@ -44,7 +44,7 @@
 function reportDelayedCommit(
   context: RelayContext,
   { requestId, group, position }: AnsweredCommit,
-  standing: CommitStanding,
+  standing: CommitStatus,
   delayMs: number,
 ): void {
   context.observer.notable({
--- a/src/relay/leader-doubts.test.ts
+++ b/src/relay/failure-detector.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'node:test';
 import type { Suspicion } from '../cluster/peer-mesh.js';
 import { ListedMembers, entryOf } from '../../test/support/listed-members.js';
-import { FailureDetector } from './leader-doubts.js';
+import { FailureDetector } from './failure-detector.js';
 
 test('trouble with a life that has ended says nothing of the next one, which may lead', () => {
   const scene = new ListedMembers();
@@ -26,7 +26,7 @@
   scene.directory.listed(entryOf());
   const old = scene.member();
   scene.directory.listed(entryOf({ bornMs: 2000 }));
-  group.evidence.believe({ memberId: 'm', term: 4 });
+  group.evidence.observeLeader({ memberId: 'm', term: 4 });
   for (const reason of ['lost', 'silent', 'refused', 'read_only']) doubts.suspect(group, old, reason);
   assert.deepEqual(group.evidence.leader, { memberId: 'm', term: 4 });
   assert.deepEqual([reported, woken], [[], []]);
--- a/src/relay/leader-doubts.ts
+++ b/src/relay/failure-detector.ts
@@ -59,7 +59,7 @@
     const isLeader = isLeaderOf(group, member);
     const deniesLeadership = NOT_LEADER_REASONS.has(reason);
     if (deniesLeadership) {
-      if (isLeader) group.evidence.loseLeader();
+      if (isLeader) group.evidence.clearLeader();
     } else {
       this.#avoid(group, member, reason);
     }
--- a/src/relay/cut-request.test.ts
+++ b/src/relay/interrupted-request.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { refusalOfInterrupted, type InterruptedRequest } from './cut-request.js';
+import { refusalOfInterrupted, type InterruptedRequest } from './interrupted-request.js';
 
 const READ: InterruptedRequest = {
   kind: 'read',
--- a/src/relay/cut-request.ts
+++ b/src/relay/interrupted-request.ts
@@ -19,7 +19,7 @@
 }
 
 /** Retry delay for a client whose request another daemon can serve at once, in milliseconds. */
-export const ELSEWHERE_RETRY_AFTER_MS = 0;
+export const OTHER_DAEMON_RETRY_AFTER_MS = 0;
 
 /**
  * The final answer. A transaction whose commit was not sent is rolled back when its connection closes. A
@@ -31,7 +31,7 @@
 ): Refusal {
   const isInDoubt = wasSent && (isInTransaction ? kind === 'commit' && hasWritten : isWrite);
   if (isInDoubt) return new Refusal('in_doubt', 'may_have_run', reason);
-  if (isInTransaction) return new Refusal('aborted', 'not_run', reason, ELSEWHERE_RETRY_AFTER_MS);
+  if (isInTransaction) return new Refusal('aborted', 'not_run', reason, OTHER_DAEMON_RETRY_AFTER_MS);
   if (wasSent) return new Refusal('timed_out', 'may_have_run', reason);
-  return new Refusal('busy', 'not_run', reason, ELSEWHERE_RETRY_AFTER_MS);
+  return new Refusal('busy', 'not_run', reason, OTHER_DAEMON_RETRY_AFTER_MS);
 }
--- a/src/relay/link-wait.test.ts
+++ b/src/relay/link-acquisition.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LinkWait, PoolTimeoutError, type PoolWaiter, type WaitingPlace } from './link-wait.js';
+import { LinkAcquisition, PoolTimeoutError, type PoolWaiter, type LinkSource } from './link-acquisition.js';
 import type { SessionLink } from './session-link.js';
 
 const DEMAND = {
@@ -17,7 +17,7 @@
 };
 const LINK = {} as SessionLink;
 
-class FakeSource implements WaitingPlace {
+class FakeSource implements LinkSource {
   readonly waiters: PoolWaiter[] = [];
 
   enqueue(waiter: PoolWaiter): void {
@@ -29,11 +29,11 @@
   }
 }
 
-function createWait(): { wait: LinkWait<string>; leader: FakeSource; replica: FakeSource } {
-  const wait = new LinkWait<string>(DEMAND, 1000);
+function createWait(): { wait: LinkAcquisition<string>; leader: FakeSource; replica: FakeSource } {
+  const wait = new LinkAcquisition<string>(DEMAND, 1000);
   const leader = new FakeSource();
   const replica = new FakeSource();
-  wait.joinAll([
+  wait.enqueueAll([
     { place: leader, member: 'leader' },
     { place: replica, member: 'replica' },
   ]);
@@ -59,16 +59,16 @@
 });
 
 test('a pool that fails immediately does not prevent the next one from being asked', async () => {
-  const refusing: WaitingPlace = {
+  const refusing: LinkSource = {
     enqueue: (waiter) => waiter.fail(new Error('refused'), refusing),
     dequeue: () => undefined,
   };
-  const granting: WaitingPlace = {
+  const granting: LinkSource = {
     enqueue: (waiter) => waiter.grant(LINK, granting),
     dequeue: () => undefined,
   };
-  const wait = new LinkWait<string>(DEMAND, 1000);
-  wait.joinAll([
+  const wait = new LinkAcquisition<string>(DEMAND, 1000);
+  wait.enqueueAll([
     { place: refusing, member: 'refusing' },
     { place: granting, member: 'granting' },
   ]);
@@ -79,7 +79,7 @@
   const { wait, leader, replica } = createWait();
   wait.grant(LINK, leader);
   const late = new FakeSource();
-  wait.joinAll([{ place: late, member: 'late' }]);
+  wait.enqueueAll([{ place: late, member: 'late' }]);
   wait.fail(new Error('too late'), replica);
   assert.equal(late.waiters.length, 0);
   assert.equal((await wait.granted).member, 'leader');
@@ -91,5 +91,5 @@
   setup.wait.cancel();
   await rejected;
   assert.equal(setup.leader.waiters.length + setup.replica.waiters.length, 0);
-  await assert.rejects(new LinkWait<string>(DEMAND, 0).granted, PoolTimeoutError);
+  await assert.rejects(new LinkAcquisition<string>(DEMAND, 0).granted, PoolTimeoutError);
 });
--- a/src/relay/link-wait.ts
+++ b/src/relay/link-acquisition.ts
@@ -13,7 +13,7 @@
 }
 
 /** A connection pool as seen by a waiting request. */
-export interface WaitingPlace {
+export interface LinkSource {
   /**
    * Queues a request; the pool then grants it a connection or fails it, possibly before this call returns.
    */
@@ -25,28 +25,28 @@
 /** A request that waits at one or several pools. */
 export interface PoolWaiter {
   readonly demand: LinkDemand;
-  grant(link: SessionLink, source: WaitingPlace): void;
+  grant(link: SessionLink, source: LinkSource): void;
   /** Called if the pool will not have a connection soon. Nothing was sent. */
-  fail(error: Error, source: WaitingPlace): void;
+  fail(error: Error, source: LinkSource): void;
 }
 
 /** A granted connection and its member. */
-export interface Grant<Member> {
+export interface GrantedLink<Member> {
   readonly link: SessionLink;
   readonly member: Member;
 }
 
 /** Waits for one connection at any number of pools. */
-export class LinkWait<Member> implements PoolWaiter {
+export class LinkAcquisition<Member> implements PoolWaiter {
   /** Resolves with the first connection; rejects once all pools have failed or the timeout has expired. */
-  readonly granted: Promise<Grant<Member>>;
+  readonly granted: Promise<GrantedLink<Member>>;
   /** Errors of the members that could not provide a connection. */
   readonly failures = new Map<Member, Error>();
-  readonly #sources = new Map<WaitingPlace, Member>();
+  readonly #sources = new Map<LinkSource, Member>();
   readonly #members = new Set<Member>();
   readonly #timer: NodeJS.Timeout;
   #isFinished = false;
-  #resolve: (grant: Grant<Member>) => void = () => undefined;
+  #resolve: (grant: GrantedLink<Member>) => void = () => undefined;
   #reject: (error: Error) => void = () => undefined;
 
   /** @param waitMs - timeout, in milliseconds */
@@ -75,8 +75,8 @@
   }
 
   /** Adds the request to the pools of more members, in the given order. */
-  joinAll(places: readonly { readonly place: WaitingPlace; readonly member: Member }[]): void {
-    const added = places.filter(
+  enqueueAll(sources: readonly { readonly place: LinkSource; readonly member: Member }[]): void {
+    const added = sources.filter(
       ({ place: source, member }) => !this.#sources.has(source) && !this.#members.has(member),
     );
     for (const { place: source, member } of added) {
@@ -86,7 +86,7 @@
     for (const { place: source } of added) if (!this.#isFinished) source.enqueue(this);
   }
 
-  grant(link: SessionLink, source: WaitingPlace): void {
+  grant(link: SessionLink, source: LinkSource): void {
     const member = this.#sources.get(source);
     if (member === undefined)
       throw new Error('connection granted by a pool at which the request does not wait');
@@ -94,7 +94,7 @@
     this.#finish(() => this.#resolve({ link, member }));
   }
 
-  fail(error: Error, source: WaitingPlace): void {
+  fail(error: Error, source: LinkSource): void {
     const member = this.#sources.get(source);
     this.#sources.delete(source);
     if (member !== undefined) this.failures.set(member, error);
@@ -104,7 +104,7 @@
   /**
    * Completes the wait with a connection that is available without queueing; `take` throws if there is none.
    */
-  settle(member: Member, take: () => SessionLink): void {
+  completeWith(member: Member, take: () => SessionLink): void {
     if (this.#isFinished) return;
     this.#members.add(member);
     try {
--- a/src/relay/link-pool-tenants.test.ts
+++ b/src/relay/link-pool-tenants.test.ts
@@ -28,9 +28,9 @@
     budget: () => budget,
     dialTimeoutMs: 100,
     limitBackoffMs: 10,
-    idleMs: 1000,
+    idleTimeoutMs: 1000,
     serviceMs: () => 10,
-    onTrouble: () => undefined,
+    onFailure: () => undefined,
     random: () => 0.5,
     now: () => clock.now,
   });
--- a/src/relay/link-pool.test.ts
+++ b/src/relay/link-pool.test.ts
@@ -8,7 +8,7 @@
 import { FakeLink } from '../../test/support/fake-link.js';
 import { LinkPool } from './link-pool.js';
 import type { LinkDemand } from './link-queue.js';
-import { PoolTimeoutError } from './link-wait.js';
+import { PoolTimeoutError } from './link-acquisition.js';
 import { DialError, LinkLostError, type MemberLink } from './member-link.js';
 
 const ADDRESS = { memberId: 'm', groupName: 'g', host: 'h', port: 1 };
@@ -33,9 +33,9 @@
     budget: () => budget,
     dialTimeoutMs: 100,
     limitBackoffMs: 10,
-    idleMs: 1000,
+    idleTimeoutMs: 1000,
     serviceMs: () => 10,
-    onTrouble,
+    onFailure: onTrouble,
     random: () => 0.5,
     now: () => clock.now,
   });
@@ -78,7 +78,7 @@
   const fake = new FakeLink();
   const pool = poolOf(1, () => Promise.resolve(fake));
   const link = await pool.acquire(DEMAND, 1000);
-  await link.adoptValues(
+  await link.setSessionValues(
     new Map([
       ['lang', 'ur'],
       ['mode', 'x'],
@@ -87,7 +87,7 @@
   await link.prepare({ isWrite: false, shape: 'q1' });
   fake.sent.length = 0;
   await Promise.all([
-    link.adoptValues(new Map([['lang', 'en']])),
+    link.setSessionValues(new Map([['lang', 'en']])),
     link.prepare({ isWrite: false, shape: 'q1' }),
   ]);
   assert.deepEqual(
@@ -102,7 +102,7 @@
   const pool = poolOf(1, () => Promise.resolve(fake));
   const link = await pool.acquire(DEMAND, 1000);
   fake.refuseNext = true;
-  await assert.rejects(link.adoptValues(new Map([['lang', 'ur']])), LinkLostError);
+  await assert.rejects(link.setSessionValues(new Map([['lang', 'ur']])), LinkLostError);
   assert.equal(link.isOpen, false);
 });
 
@@ -163,11 +163,11 @@
   const clock = { now: 0 };
   const pool = poolOf(2, () => Promise.reject(new DialError('too_many_connections', 'full')), clock);
   const waiting = [pool.acquire(DEMAND, 1000), pool.acquire(DEMAND, 1000), pool.acquire(DEMAND, 1000)];
-  assert.equal(pool.isShut, false);
+  assert.equal(pool.isUnavailable, false);
   for (const each of waiting) await assert.rejects(each, DialError);
-  assert.equal(pool.isShut, true);
+  assert.equal(pool.isUnavailable, true);
   clock.now = 11;
-  assert.equal(pool.isShut, false, 'may be dialed again after the backoff');
+  assert.equal(pool.isUnavailable, false, 'may be dialed again after the backoff');
 });
 
 /** A dialer whose connections are accepted one by one by a call of `accept`. */
@@ -272,7 +272,7 @@
 
   test('closes its connections immediately, including those in use, and grants no more', async () => {
     const { pool, links } = await endedPool();
-    pool.end();
+    pool.closePermanently();
     assert.deepEqual(
       links.map(({ isOpen }) => isOpen),
       [false, false],
@@ -289,7 +289,7 @@
     const waiting = [pool.acquire(DEMAND, 1000), pool.acquire(DEMAND, 1000)];
     assert.equal(dials.length, 2);
     const outcomes = Promise.allSettled(waiting);
-    pool.end();
+    pool.closePermanently();
     assert.deepEqual(
       (await outcomes).map(({ status }) => status),
       ['rejected', 'rejected'],
--- a/src/relay/link-pool.ts
+++ b/src/relay/link-pool.ts
@@ -9,7 +9,7 @@
  */
 import { NO_TENANT } from '../tenancy/tenant-register.js';
 import { nextToServe, type LinkDemand } from './link-queue.js';
-import { LinkWait, PoolTimeoutError, type PoolWaiter, type WaitingPlace } from './link-wait.js';
+import { LinkAcquisition, PoolTimeoutError, type PoolWaiter, type LinkSource } from './link-acquisition.js';
 import { DialError, type MemberAddress, type MemberDialer } from './member-link.js';
 import { PooledLink } from './pooled-link.js';
 import type { SessionValues } from './session-link.js';
@@ -57,11 +57,11 @@
    */
   readonly limitBackoffMs: number;
   /** Idle time after which a connection above the minimum is closed, in milliseconds. */
-  readonly idleMs: number;
+  readonly idleTimeoutMs: number;
   /** Expected latency of the member's replies, in milliseconds. */
   serviceMs(): number;
   /** Called when a connection could not be opened or was closed by the peer. */
-  onTrouble(reason: string): void;
+  onFailure(reason: string): void;
   /** Monotonic time, in milliseconds. */
   now(): number;
   /** A number from 0 up to 1. */
@@ -78,7 +78,7 @@
 /**
  * Opens connections on demand, grants them by priority and reuses those that are released without open work.
  */
-export class LinkPool implements WaitingPlace {
+export class LinkPool implements LinkSource {
   /** In order of release; the most recently released connection is last and is reused first. */
   readonly #idle: { readonly link: PooledLink; readonly sinceMs: number }[] = [];
   readonly #waiters: QueuedWaiter[] = [];
@@ -116,7 +116,7 @@
    * True if the pool has no connection and currently opens none, because the member has refused one or was too
    * slow to accept it.
    */
-  get isShut(): boolean {
+  get isUnavailable(): boolean {
     return this.size === 0 && this.options.now() < this.#dialBackoffUntilMs;
   }
 
@@ -126,8 +126,8 @@
    * @throws {@link PoolTimeoutError}, {@link DialError}: nothing was sent to the member
    */
   async acquire(demand: LinkDemand, waitMs: number): Promise<PooledLink> {
-    const wait = new LinkWait<this>(demand, waitMs);
-    wait.joinAll([{ place: this, member: this }]);
+    const wait = new LinkAcquisition<this>(demand, waitMs);
+    wait.enqueueAll([{ place: this, member: this }]);
     const { link } = await wait.granted;
     return link as PooledLink;
   }
@@ -163,7 +163,7 @@
    * True if a request of the daemon itself should open the first connection; client requests reuse it
    * afterwards.
    */
-  get isUnopened(): boolean {
+  get canOpenFirst(): boolean {
     return !this.#isClosed && this.size === 0 && this.#canDial();
   }
 
@@ -203,7 +203,7 @@
    * that it doesn't need.
    */
   trim(): void {
-    const idleCutoffMs = this.options.now() - this.options.idleMs;
+    const idleCutoffMs = this.options.now() - this.options.idleTimeoutMs;
     for (;;) {
       const oldest = this.#idle[0];
       if (oldest === undefined) return;
@@ -297,7 +297,7 @@
     this.rejectWaiters('the member has left');
   }
 
-  /** Grants connections again after {@link LinkPool.close}, but not after {@link LinkPool.end}. */
+  /** Grants connections again after {@link LinkPool.close}, but not after {@link LinkPool.closePermanently}. */
   reopen(): void {
     this.#isClosed = this.#hasEnded;
   }
@@ -306,7 +306,7 @@
    * Closes all connections immediately and permanently, including those in use, because the member's process
    * has ended. Failures are no longer reported after this.
    */
-  end(): void {
+  closePermanently(): void {
     this.#hasEnded = true;
     this.close();
     this.closeAll();
@@ -383,7 +383,7 @@
 
   #onLinkClosed(link: PooledLink, isByPeer: boolean): void {
     if (!this.#links.delete(link)) return;
-    if (isByPeer && !this.#hasEnded) this.options.onTrouble('lost');
+    if (isByPeer && !this.#hasEnded) this.options.onFailure('lost');
     const index = this.#idle.findIndex((idle) => idle.link === link);
     if (index >= 0) this.#idle.splice(index, 1);
     this.#openForWaiters();
@@ -408,7 +408,7 @@
       case 'silent':
       case 'lost':
       case 'wrong_member':
-        this.options.onTrouble(error.reason);
+        this.options.onFailure(error.reason);
     }
     this.#takeNextWaiter(tenantName)?.fail(error, this);
     this.#openForWaiters();
--- a/src/relay/member-link.ts
+++ b/src/relay/member-link.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 import type { Position } from '../position/position.js';
-import type { PreparedShape, TransactionState } from './statement.js';
+import type { PreparedStatement, TransactionState } from './statement.js';
 
 /** A request to a member. */
 export type MemberRequest =
@@ -12,7 +12,7 @@
   | { readonly kind: 'rollback' }
   | { readonly kind: 'reset' }
   | { readonly kind: 'set'; readonly name: string; readonly value: string }
-  | { readonly kind: 'prepare'; readonly name: string; readonly prepared: PreparedShape }
+  | { readonly kind: 'prepare'; readonly name: string; readonly prepared: PreparedStatement }
   | {
       readonly kind: 'statement';
       readonly requestId: string;
--- a/src/relay/pooled-link.ts
+++ b/src/relay/pooled-link.ts
@@ -5,7 +5,7 @@
  */
 import { LinkLostError, type MemberLink, type MemberReply, type MemberRequest } from './member-link.js';
 import type { SessionLink, SessionValues } from './session-link.js';
-import type { PreparedShape, TransactionState } from './statement.js';
+import type { PreparedStatement, TransactionState } from './statement.js';
 
 /** Maximum number of prepared statements on a connection; a connection that would exceed it is closed. */
 const MAX_PREPARED_NAMES = 500;
@@ -14,7 +14,7 @@
  * Name of a prepared statement at members. It depends only on the statement's shape, so all sessions share
  * it.
  */
-export function memberNameOf(prepared: PreparedShape): string {
+export function preparedStatementName(prepared: PreparedStatement): string {
   return `${prepared.isWrite ? 'w' : 'r'}_${prepared.shape}`;
 }
 
@@ -95,7 +95,7 @@
    *
    * @throws {@link LinkLostError}, also if the member refuses a value: the session state is then unknown
    */
-  async adoptValues(values: SessionValues): Promise<void> {
+  async setSessionValues(values: SessionValues): Promise<void> {
     if (this.hasValues(values)) return;
     const hasStaleValues = [...this.#values.keys()].some((name) => !values.has(name));
     const steps: Promise<void>[] = [];
@@ -113,8 +113,8 @@
   }
 
   /** Prepares a statement unless that is already done, and returns its name at the member. */
-  async prepare(prepared: PreparedShape): Promise<string> {
-    const name = memberNameOf(prepared);
+  async prepare(prepared: PreparedStatement): Promise<string> {
+    const name = preparedStatementName(prepared);
     if (this.#prepared.has(name)) return name;
     if (this.#prepared.size >= MAX_PREPARED_NAMES) throw this.#closeWithError('too many prepared names');
     await this.#sendOrClose({ kind: 'prepare', name, prepared });
--- a/src/relay/read-runner.test.ts
+++ b/src/relay/read-runner.test.ts
@@ -80,7 +80,7 @@
   const clock = { now: performance.now() };
   const fakes = { leader: new FakeMember(), replica: new FakeMember() };
   const group = testGroup(fakes, () => clock.now);
-  group.evidence.witness(1, 0, clock.now);
+  group.evidence.recordWitness(1, 0, clock.now);
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -89,7 +89,7 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now: () => clock.now,
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     readStatus: () => null,
     suspect: () => undefined,
   };
--- a/src/relay/read-runner.ts
+++ b/src/relay/read-runner.ts
@@ -12,8 +12,8 @@
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import { alternatives, selectReadMember, type ReadCandidate } from '../topology/select-member.js';
 import { dueAt, type LinkDemand } from './link-queue.js';
-import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './lead-proof.js';
-import { LinkWait, type Grant, type WaitingPlace } from './link-wait.js';
+import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './leader-identity.js';
+import { LinkAcquisition, type GrantedLink, type LinkSource } from './link-acquisition.js';
 import {
   DialError,
   hasLostLog,
@@ -23,7 +23,7 @@
 } from './member-link.js';
 import { shouldRefuseEarly } from './early-refusal.js';
 import { Refusal } from './refusal.js';
-import { LATE_ANSWER_MS, RETRY_AFTER_MS, RETRY_PAUSE_MS, type RelayContext } from './relay-context.js';
+import { LATE_REPLY_TIMEOUT_MS, RETRY_AFTER_MS, RETRY_DELAY_MS, type RelayContext } from './relay-context.js';
 import type { SessionLink, SessionValues } from './session-link.js';
 import { sendStatement, type SessionStatement } from './send-statement.js';
 
@@ -62,7 +62,7 @@
  * An attempt in progress: it waits for a connection to one of several members, then for that member's answer.
  */
 interface PendingAttempt {
-  readonly wait: LinkWait<Member>;
+  readonly wait: LinkAcquisition<Member>;
   /** When the read was sent, in monotonic milliseconds; `null` while waiting for a connection. */
   sentAtMs: number | null;
 }
@@ -208,7 +208,7 @@
         if (this.#shouldRefuseEarly()) return this.#resultWithoutAnswer();
         this.#excluded.clear();
         this.#unreachable.clear();
-        await this.job.group.changed.wait(Math.min(RETRY_PAUSE_MS, remaining));
+        await this.job.group.changed.wait(Math.min(RETRY_DELAY_MS, remaining));
         continue;
       }
       const attempt = await this.#nextEndedAttempt(remaining);
@@ -298,7 +298,7 @@
       ({ memberId }) => group.members.get(memberId) ?? [],
     );
     if (waiting !== null) {
-      if (!choice.isAvoided) waiting.wait.joinAll(directQueuesOf([member, ...others]));
+      if (!choice.isAvoided) waiting.wait.enqueueAll(directQueuesOf([member, ...others]));
       return;
     }
     if (this.#pending.size > 0 && (choice.isAvoided || member.pool.isExhausted)) return;
@@ -309,15 +309,15 @@
   #startAttempt(member: Member, others: readonly Member[]): void {
     const demand = this.#demand();
     const waitMs = this.job.deadlineMs - this.context.now();
-    const pending: PendingAttempt = { wait: new LinkWait<Member>(demand, waitMs), sentAtMs: null };
+    const pending: PendingAttempt = { wait: new LinkAcquisition<Member>(demand, waitMs), sentAtMs: null };
     this.#pending.add(pending);
     void this.#attempt(pending).then((attempt) => {
       this.#pending.delete(pending);
       this.#endedAttempts.push(attempt);
       this.#attemptEnded.notify();
     });
-    if (member.pool.isDirect) pending.wait.joinAll(directQueuesOf([member, ...others]));
-    else pending.wait.settle(member, () => member.pool.borrow(demand, waitMs));
+    if (member.pool.isDirect) pending.wait.enqueueAll(directQueuesOf([member, ...others]));
+    else pending.wait.completeWith(member, () => member.pool.borrow(demand, waitMs));
   }
 
   #demand(): LinkDemand {
@@ -333,7 +333,7 @@
 
   async #attempt(pending: PendingAttempt): Promise<Attempt> {
     const { wait } = pending;
-    let granted: Grant<Member>;
+    let granted: GrantedLink<Member>;
     try {
       granted = await wait.granted;
     } catch (error) {
@@ -365,7 +365,10 @@
       floor: floor === null ? null : formatPosition(floor.position),
       second: this.#pending.size > 1,
     });
-    const deadlineTimer = setTimeout(() => link.close(), job.deadlineMs - context.now() + LATE_ANSWER_MS);
+    const deadlineTimer = setTimeout(
+      () => link.close(),
+      job.deadlineMs - context.now() + LATE_REPLY_TIMEOUT_MS,
+    );
     let isSent = false;
     const after = asLeader ? job.group.heldByLeader : (floor?.position ?? null);
     try {
@@ -434,6 +437,6 @@
 /** The pools in which a request can queue: those of members to which this daemon connects directly. */
 function directQueuesOf(
   members: readonly Member[],
-): { readonly place: WaitingPlace; readonly member: Member }[] {
+): { readonly place: LinkSource; readonly member: Member }[] {
   return members.filter(({ pool }) => pool.isDirect).map((member) => ({ place: member.pool.own, member }));
 }
--- a/src/relay/relay-context.ts
+++ b/src/relay/relay-context.ts
@@ -8,7 +8,7 @@
 import type { Catalog } from '../topology/catalog.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import type { StatusReader } from './member-link.js';
-import type { PlannedStop } from './planned-stop.js';
+import type { ShutdownSchedule } from './shutdown-schedule.js';
 
 /** A decision about a request, with the inputs that led to it. */
 export interface Decision {
@@ -41,7 +41,7 @@
   /** Returns a group by name, or `null`. Configuration changes add and remove groups. */
   group(name: string): MemberGroup | null;
   /** The schedule of the shutdown in progress; `null` before a shutdown. */
-  plannedStop(): PlannedStop | null;
+  shutdownSchedule(): ShutdownSchedule | null;
   /** Monotonic time, in milliseconds. */
   now(): number;
   /** Parses a member's reply to a status request. */
@@ -51,10 +51,10 @@
 }
 
 /** Delay before a request is retried at members that refused it, in milliseconds. */
-export const RETRY_PAUSE_MS = 15;
+export const RETRY_DELAY_MS = 15;
 
 /** How long a connection may stay in use for a reply that the client no longer waits for, in milliseconds. */
-export const LATE_ANSWER_MS = 300;
+export const LATE_REPLY_TIMEOUT_MS = 300;
 
 /**
  * Retry delay suggested to a client that is rejected because the configuration cannot be proven to be the
--- a/src/relay/relay-daemon.ts
+++ b/src/relay/relay-daemon.ts
@@ -23,7 +23,7 @@
   readDaemons,
 } from '../coordination/daemon-register.js';
 import { Duty } from '../coordination/duty.js';
-import { DelegatedFeed, WORST_LAG_MS } from '../coordination/change-feed.js';
+import { DelegatedFeed, MAX_RELAY_LAG_MS } from '../coordination/change-feed.js';
 import { ChangeRelay } from '../coordination/change-relay.js';
 import type { EntryFaults } from '../coordination/entry-faults.js';
 import { isSameRevision, type Revision } from '../coordination/revision.js';
@@ -33,11 +33,11 @@
 import { GatewayServer } from '../gateway/gateway-server.js';
 import { MemberConnections } from '../gateway/member-connections.js';
 import type { GroupSupervisorOptions, PromotionPort } from '../leadership/group-supervisor.js';
-import { EvidenceAnswers } from '../leadership/evidence-exchange.js';
+import { EvidenceResponder } from '../leadership/evidence-exchange.js';
 import { EvidenceSharing } from '../leadership/evidence-sharing.js';
 import { LeadershipWatcher } from '../leadership/leadership-watcher.js';
 import { MemberControl } from '../leadership/member-control.js';
-import { Supervision } from '../leadership/supervision.js';
+import { GroupSupervisors } from '../leadership/group-supervisors.js';
 import type { RelayState } from '../observability/relay-metrics.js';
 import { ZERO_POSITION } from '../position/position.js';
 import { QuotaService } from '../quota/quota-service.js';
@@ -48,11 +48,11 @@
 import { compareIncarnations, type Incarnation } from '../topology/incarnation.js';
 import { MemberDirectory } from '../topology/member-directory.js';
 import { Member, MemberGroup, type MemberEntry } from '../topology/member-group.js';
-import { FailureDetector } from './leader-doubts.js';
+import { FailureDetector } from './failure-detector.js';
 import { LinkPool } from './link-pool.js';
 import type { MemberDialer, StatusReader } from './member-link.js';
 import type { RelayContext, RelayObserver } from './relay-context.js';
-import type { PlannedStop } from './planned-stop.js';
+import type { ShutdownSchedule } from './shutdown-schedule.js';
 import { Readiness } from './readiness.js';
 import { Session } from './session.js';
 
@@ -147,14 +147,14 @@
   readonly #lostRecords: LostRecords;
   #isDutyStarted = false;
   readonly #delegations = new Delegations(() => this.#daemons.live);
-  readonly #supervision = new Supervision({
+  readonly #supervision = new GroupSupervisors({
     supervisorOptions: (group) => this.#supervisorOptions(group),
     runForever: (loop) => this.#runLoop(loop),
   });
   readonly #gatewayClient: GatewayClient;
   readonly #gatewayServer: GatewayServer;
   readonly #evidenceSharing: EvidenceSharing;
-  readonly #evidenceAnswers = new EvidenceAnswers(() => this.#evidenceSharing.ownEvidence());
+  readonly #evidenceAnswers = new EvidenceResponder(() => this.#evidenceSharing.ownEvidence());
   readonly #assignments: Assignments;
   readonly #configurationLease: ConfigurationLease;
   readonly #leaseRenewal: LeaseRenewal;
@@ -162,7 +162,7 @@
   readonly #readiness = new Readiness();
   #tickTimer: NodeJS.Timeout | null = null;
   #isStopped = false;
-  #shutdownSchedule: PlannedStop | null = null;
+  #shutdownSchedule: ShutdownSchedule | null = null;
   #startedAtMs = 0;
   /** When the active configuration was received, in monotonic milliseconds. */
   #catalogReceivedAtMs = Number.NEGATIVE_INFINITY;
@@ -205,7 +205,7 @@
     this.directory = new MemberDirectory({
       leaveMs: options.leaveMs,
       heartbeatMs: options.heartbeatMs,
-      lagMs: () => (this.#delegations.of('store') === null ? 0 : WORST_LAG_MS),
+      lagMs: () => (this.#delegations.of('store') === null ? 0 : MAX_RELAY_LAG_MS),
       group: (name) => this.#groups.get(name)?.group ?? null,
       create: (entry) => this.#createMember(entry),
       changed: (group) => {
@@ -240,9 +240,9 @@
       ownName: self.name,
       zone: options.zone,
       delegates: () => this.#delegations.of('store'),
-      mustBeDirect: () => this.isDutyHolder,
-      held: (key) => this.watched.items.get(key) ?? null,
-      ask: this.#gatewayClient.askChanges.bind(this.#gatewayClient),
+      mustWatchStore: () => this.isDutyHolder,
+      localItem: (key) => this.watched.items.get(key) ?? null,
+      askDelegate: this.#gatewayClient.askChanges.bind(this.#gatewayClient),
       log: options.log,
       now,
       random,
@@ -294,7 +294,7 @@
     this.#gatewayServer = new GatewayServer({
       pool: (groupName, life) => this.#lendablePool(groupName, life),
       ownEvidence: (knownVersion) => this.#evidenceAnswers.answer(knownVersion),
-      changes: (afterRevision, waitMs) => changeRelay.ask(afterRevision, waitMs),
+      changes: (afterRevision, waitMs) => changeRelay.changesAfter(afterRevision, waitMs),
       configuration: (heldVersion) => this.#configurationReply(heldVersion),
       grant: (request) => this.#quotas.grant(request),
     });
@@ -303,11 +303,11 @@
       zone: options.zone,
       groups: () => this.groups,
       fleetSize: () => this.#daemons.live.length,
-      askers: () => this.#delegations.of('witnesses'),
+      collectors: () => this.#delegations.of('witnesses'),
       holdsDuty: () => this.#duty.heldFence(0) !== null,
       askHolder: (timeoutMs) => this.#mesh.askEvidence(timeoutMs),
       askDaemon: (record, timeoutMs) => this.#gatewayClient.askEvidence(record, timeoutMs),
-      gained: (group) => {
+      evidenceGained: (group) => {
         group.changed.notify();
         this.#groups.get(group.name)?.watcher.wake();
       },
@@ -340,7 +340,7 @@
       zone: options.zone,
       observer: options.observer,
       group: (name) => this.#groups.get(name)?.group ?? null,
-      plannedStop: () => this.#shutdownSchedule,
+      shutdownSchedule: () => this.#shutdownSchedule,
       now,
       readStatus,
       suspect: (group, member, reason) => this.#failureDetector.suspect(group, member, reason),
@@ -381,7 +381,7 @@
     await this.#mesh.listen(host, port);
     this.#listeningSinceMs = this.options.now();
     await this.#gatewayServer.listen(host, gatewayPort);
-    this.#duty.prepare();
+    this.#duty.requestLivenessLease();
     this.#runLoop(this.#evidenceSharing.run());
     this.#runLoop(this.#leaseRenewal.run());
     this.#scheduleTick();
@@ -401,7 +401,7 @@
    * Starts the shutdown: releases the promotion duty and accepts no new loans. Sessions and open loans
    * continue until the times of the schedule.
    */
-  async retire(plan: PlannedStop): Promise<void> {
+  async beginShutdown(plan: ShutdownSchedule): Promise<void> {
     this.#shutdownSchedule = plan;
     this.#retireQuotasWhileSettling();
     this.#gatewayServer.leave();
@@ -421,7 +421,7 @@
   }
 
   /** Rolls back and ends loans that are idle inside a transaction, and accepts no new loans. */
-  windUpLoans(): void {
+  drainLoans(): void {
     this.#gatewayServer.windUp();
   }
 
@@ -429,7 +429,7 @@
    * Ends every loan and resolves once all borrowers have been notified. Has no timeout of its own: the caller
    * sets one.
    */
-  finishLoans(): Promise<void> {
+  endLoans(): Promise<void> {
     return this.#gatewayServer.finish();
   }
 
@@ -518,8 +518,8 @@
       this.#control,
       listener,
       () => this.#duty.held,
-      () => options.now() >= this.#registration.countsFromMs && this.#evidenceSharing.asksWitnesses(group),
-      () => this.#evidenceSharing.isReliedOn,
+      () => options.now() >= this.#registration.countsFromMs && this.#evidenceSharing.queriesWitnesses(group),
+      () => this.#evidenceSharing.suppliesEvidence,
       options.now,
     );
     const watched: WatchedGroup = { group, watcher };
@@ -543,10 +543,10 @@
       budget: () => this.#assignments.budget(member.entry),
       dialTimeoutMs: DIAL_TIMEOUT_MS,
       limitBackoffMs: LIMIT_BACKOFF_MS,
-      idleMs: IDLE_TIMEOUT_MS,
+      idleTimeoutMs: IDLE_TIMEOUT_MS,
       random: options.random,
       serviceMs: () => member.latencyMs,
-      onTrouble: (reason) => this.#onMemberFailure(entry.groupName, member, reason),
+      onFailure: (reason) => this.#onMemberFailure(entry.groupName, member, reason),
       now: options.now,
     });
     const connections = new MemberConnections({
@@ -663,7 +663,7 @@
         if (order.call !== undefined) group.calls.note(order.call, this.options.now());
         break;
       case 'allow':
-        group.evidence.allowAgain();
+        group.evidence.liftRevocation();
         group.calls.clear();
         break;
       case 'leader':
@@ -726,7 +726,7 @@
   #onCoordinationKeysChanged(): void {
     const { registered, leased, unreadable } = readDaemons(this.watched.items, this.options.faults);
     if (this.#daemons.update(registered, leased, this.options.now())) this.#onDaemonsChanged();
-    this.#duty.look();
+    this.#duty.observe();
     if (!this.#isDutyStarted) this.#startDuty(registered, unreadable);
     this.#restoreLostRecords();
     this.#runLoop(this.#duty.keysChanged());
@@ -746,13 +746,13 @@
   /** Registers this daemon, after reading what an earlier process of it has left in the store. */
   #startDuty(registered: ReadonlyMap<string, DaemonRecord>, unreadable: ReadonlySet<string>): void {
     this.#isDutyStarted = true;
-    const isBehind = this.#duty.isRegisterBehind;
+    const isBehind = this.#duty.isRegistryIncomplete;
     this.#registration.firstLook(registered, this.options.now(), { unreadable, isBehind });
     this.#runLoop(this.#duty.run());
   }
 
   #onDaemonsChanged(): void {
-    this.watched.watchers = Math.max(1, this.#daemons.live.length);
+    this.watched.watcherCount = Math.max(1, this.#daemons.live.length);
     this.#assignments.clear();
     this.#delegations.clear();
     this.#gatewayClient.retain(this.#daemons.live);
@@ -771,7 +771,7 @@
     this.options.log('duty_taken', { fence });
     this.#mesh.connectAll(this.#daemons.live);
     for (const { group } of this.#groups.values()) {
-      group.evidence.unconfirm();
+      group.evidence.clearConfirmation();
       this.#supervision.begin(group);
     }
   }
@@ -781,7 +781,7 @@
     this.#dutyHandoverUntilMs = this.options.now() + DUTY_HANDOVER_MS;
     this.#mesh.disconnectAll();
     this.#supervision.endAll();
-    for (const { group } of this.#groups.values()) group.evidence.unconfirm();
+    for (const { group } of this.#groups.values()) group.evidence.clearConfirmation();
   }
 
   /** Number of daemons that connect directly to a member and can therefore detect that it is unreachable. */
@@ -804,7 +804,7 @@
     const ports = {
       known: () => known.filter(isRecipient),
       readRegister: async () => (await listLeasedDaemons(this.options.store)).filter(isRecipient),
-      isRegisterBehind: () => this.#duty.isRegisterBehind,
+      isRegisterBehind: () => this.#duty.isRegistryIncomplete,
       send: this.#mesh.order.bind(this.#mesh),
     };
     return deliverOrder(ports, order, timeoutMs);
@@ -817,9 +817,9 @@
       promotion: options.promotion,
       heldFence: (reserveMs) => this.#duty.heldFence(reserveMs),
       order: (order, timeoutMs, recipients) => this.#order(order, timeoutMs, recipients),
-      callerCount: (memberId) => this.#callerCount(group, memberId),
-      isLent: (memberId) => group.members.get(memberId)?.pool.hasGateways ?? false,
-      confirmLeader: () => {
+      connectedDaemonCount: (memberId) => this.#callerCount(group, memberId),
+      usesGateways: (memberId) => group.members.get(memberId)?.pool.hasGateways ?? false,
+      leaderPromoted: () => {
         const watcher = this.#groups.get(group.name)?.watcher;
         watcher?.confirm();
         watcher?.wake();
--- a/src/relay/next-life.test.ts
+++ b/src/relay/restarted-leader.test.ts
@@ -99,7 +99,7 @@
   const now = (): number => performance.now();
   const group = testGroup({ leader: process }, now);
   group.learnLeader({ memberId: 'leader', term: TERM }, held);
-  group.evidence.witness(TERM, 0, now());
+  group.evidence.recordWitness(TERM, 0, now());
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -108,7 +108,7 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now,
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     suspect: () => undefined,
     readStatus: ({ rows }) => JSON.parse(rows[0] ?? 'null') as MemberStatus | null,
   };
--- a/src/relay/send-statement.ts
+++ b/src/relay/send-statement.ts
@@ -7,12 +7,12 @@
 import type { Position } from '../position/position.js';
 import type { MemberReply, MemberRequest } from './member-link.js';
 import type { SessionLink, SessionValues } from './session-link.js';
-import type { PreparedShape } from './statement.js';
+import type { PreparedStatement } from './statement.js';
 
 /** A statement as sent to a member, with the prepared statement already resolved by name. */
 export type SessionStatement =
   | { readonly kind: 'plain'; readonly payload: string }
-  | { readonly kind: 'prepared'; readonly prepared: PreparedShape; readonly operands: string };
+  | { readonly kind: 'prepared'; readonly prepared: PreparedStatement; readonly operands: string };
 
 /** A reply, and the time at which the statement was sent. */
 export interface TimedReply {
@@ -38,7 +38,7 @@
   checkBeforeSend: () => string | null,
 ): Promise<TimedReply | string> {
   const [, request] = await Promise.all([
-    link.adoptValues(values),
+    link.setSessionValues(values),
     toMemberRequest(link, statement, requestId, after),
   ]);
   const notSentReason = checkBeforeSend();
--- a/src/relay/session-link.ts
+++ b/src/relay/session-link.ts
@@ -5,7 +5,7 @@
  * @packageDocumentation
  */
 import type { MemberReply, MemberRequest } from './member-link.js';
-import type { PreparedShape, TransactionState } from './statement.js';
+import type { PreparedStatement, TransactionState } from './statement.js';
 
 /** Session values by name. */
 export type SessionValues = ReadonlyMap<string, string>;
@@ -22,13 +22,13 @@
    *
    * @throws LinkLostError
    */
-  adoptValues(values: SessionValues): Promise<void>;
+  setSessionValues(values: SessionValues): Promise<void>;
   /**
    * Prepares a statement unless that is already done, and returns its name at the member.
    *
    * @throws LinkLostError
    */
-  prepare(prepared: PreparedShape): Promise<string>;
+  prepare(prepared: PreparedStatement): Promise<string>;
   /**
    * @throws LinkLostError; its subclass NotSentError if the request has certainly not been sent to the member
    */
--- a/src/relay/session.ts
+++ b/src/relay/session.ts
@@ -12,11 +12,11 @@
 import type { MemberGroup } from '../topology/member-group.js';
 import type { MemberErrorCode, MemberReply } from './member-link.js';
 import { ReadRunner } from './read-runner.js';
-import { ELSEWHERE_RETRY_AFTER_MS, refusalOfInterrupted } from './cut-request.js';
+import { OTHER_DAEMON_RETRY_AFTER_MS, refusalOfInterrupted } from './interrupted-request.js';
 import { Refusal, type RefusalCode } from './refusal.js';
 import { RETRY_AFTER_MS, UNPROVEN_RETRY_AFTER_MS, type RelayContext } from './relay-context.js';
 import type { SessionStatement } from './send-statement.js';
-import type { ClientRequest, PreparedShape, Statement, TransactionState } from './statement.js';
+import type { ClientRequest, PreparedStatement, Statement, TransactionState } from './statement.js';
 import { Transaction, type TransactionStep } from './transaction.js';
 import { WriteRunner } from './write-runner.js';
 
@@ -73,7 +73,7 @@
 
 export class Session {
   readonly #values = new Map<string, string>();
-  readonly #prepared = new Map<string, PreparedShape>();
+  readonly #prepared = new Map<string, PreparedStatement>();
   #state: TransactionState = 'idle';
   #transaction: Transaction | null = null;
   #beginRequest: BeginRequest | null = null;
@@ -108,7 +108,7 @@
   }
 
   /** The refusal when the session may not be opened, or `null`. */
-  admit(): Refusal | null {
+  checkAdmission(): Refusal | null {
     const route = this.context.catalog.route(this.database);
     if (route === null) return unknownDatabase(this.database);
     const answer = this.#authorization(route);
@@ -134,7 +134,7 @@
   }
 
   /** Interrupts the current request; its refusal says what is known of its effect. */
-  cut(): void {
+  interrupt(): void {
     this.#interrupt?.();
   }
 
@@ -142,15 +142,15 @@
    * Closes the session because the daemon is stopping: an open transaction is rolled back, and requests that
    * arrive afterwards get the returned refusal.
    */
-  bidFarewell(): Refusal {
+  closeForShutdown(): Refusal {
     const code = this.#state === 'idle' ? 'busy' : 'aborted';
     this.close();
     if (this.#state === 'open') this.#state = 'failed';
-    return new Refusal(code, 'not_run', STOPPING_REASON, ELSEWHERE_RETRY_AFTER_MS);
+    return new Refusal(code, 'not_run', STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER_MS);
   }
 
   /** Marks an open transaction as failed, after a request that could not be parsed. */
-  fail(): void {
+  failTransaction(): void {
     if (this.#state === 'idle') return;
     this.#endTransaction();
     this.#state = 'failed';
@@ -217,12 +217,12 @@
    * rollbacks are accepted longer, up to the time at which every request must be answered.
    */
   #refuseIfStopping(statement: Statement): void {
-    const stop = this.context.plannedStop();
+    const stop = this.context.shutdownSchedule();
     if (stop === null) return;
     const isEnd = statement.kind === 'commit' || statement.kind === 'rollback';
-    if (this.context.now() < (isEnd ? stop.lastAnswerAtMs : stop.lastStatementAtMs)) return;
+    if (this.context.now() < (isEnd ? stop.replyDeadlineMs : stop.statementCutoffMs)) return;
     const code = this.#state === 'idle' ? 'busy' : 'aborted';
-    throw new Refusal(code, 'not_run', STOPPING_REASON, ELSEWHERE_RETRY_AFTER_MS);
+    throw new Refusal(code, 'not_run', STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER_MS);
   }
 
   /**
@@ -230,7 +230,7 @@
    * earlier.
    */
   #deadlineOf(request: ClientRequest, route: Route): number {
-    const lastAnswerAtMs = this.context.plannedStop()?.lastAnswerAtMs ?? Number.POSITIVE_INFINITY;
+    const lastAnswerAtMs = this.context.shutdownSchedule()?.replyDeadlineMs ?? Number.POSITIVE_INFINITY;
     return Math.min(request.receivedAtMs + route.timeoutMs, lastAnswerAtMs);
   }
 
--- a/src/relay/planned-stop.test.ts
+++ b/src/relay/shutdown-schedule.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { planStop } from './planned-stop.js';
+import { scheduleShutdown } from './shutdown-schedule.js';
 
 test('a shutdown closes idle sessions, then stops statements, then ends all requests before the kill', () => {
-  const plan = planStop(1000, 6000);
+  const plan = scheduleShutdown(1000, 6000);
   assert.deepEqual(plan, {
     drainAtMs: 3200,
     lastStatementAtMs: 5200,
@@ -13,8 +13,8 @@
 });
 
 test('a short grace period keeps the order', () => {
-  const plan = planStop(0, 1000);
-  assert.ok(plan.drainAtMs < plan.lastStatementAtMs);
-  assert.ok(plan.lastStatementAtMs < plan.lastAnswerAtMs);
-  assert.ok(plan.lastAnswerAtMs < plan.exitAtMs && plan.exitAtMs < 1000);
+  const plan = scheduleShutdown(0, 1000);
+  assert.ok(plan.drainStartMs < plan.statementCutoffMs);
+  assert.ok(plan.statementCutoffMs < plan.replyDeadlineMs);
+  assert.ok(plan.replyDeadlineMs < plan.exitDeadlineMs && plan.exitDeadlineMs < 1000);
 });
--- a/src/relay/planned-stop.ts
+++ b/src/relay/shutdown-schedule.ts
@@ -28,15 +28,15 @@
 const EXIT_SHARE = 0.94;
 
 /** The times of a shutdown, in monotonic milliseconds. */
-export interface PlannedStop {
+export interface ShutdownSchedule {
   /** From then on idle sessions are closed and new ones are rejected. */
-  readonly drainAtMs: number;
+  readonly drainStartMs: number;
   /** From then on only commits and rollbacks of open transactions are run. */
-  readonly lastStatementAtMs: number;
+  readonly statementCutoffMs: number;
   /** By then every request has been answered, if necessary with an unknown outcome (`in_doubt`). */
-  readonly lastAnswerAtMs: number;
+  readonly replyDeadlineMs: number;
   /** By then the process has exited. */
-  readonly exitAtMs: number;
+  readonly exitDeadlineMs: number;
 }
 
 /**
@@ -45,11 +45,11 @@
  * @param nowMs - when the daemon was asked to stop
  * @param graceMs - time until the process is killed
  */
-export function planStop(nowMs: number, graceMs: number): PlannedStop {
+export function scheduleShutdown(nowMs: number, graceMs: number): ShutdownSchedule {
   return {
-    drainAtMs: nowMs + Math.min(DRAIN_DELAY_MS, graceMs * MAX_DRAIN_DELAY_SHARE),
-    lastStatementAtMs: nowMs + graceMs * STATEMENT_CUTOFF_SHARE,
-    lastAnswerAtMs: nowMs + graceMs * REPLY_DEADLINE_SHARE,
-    exitAtMs: nowMs + graceMs * EXIT_SHARE,
+    drainStartMs: nowMs + Math.min(DRAIN_DELAY_MS, graceMs * MAX_DRAIN_DELAY_SHARE),
+    statementCutoffMs: nowMs + graceMs * STATEMENT_CUTOFF_SHARE,
+    replyDeadlineMs: nowMs + graceMs * REPLY_DEADLINE_SHARE,
+    exitDeadlineMs: nowMs + graceMs * EXIT_SHARE,
   };
 }
--- a/src/relay/statement.ts
+++ b/src/relay/statement.ts
@@ -13,12 +13,12 @@
   | { readonly kind: 'read'; readonly payload: string }
   | { readonly kind: 'write'; readonly payload: string }
   | { readonly kind: 'set'; readonly name: string; readonly value: string }
-  | { readonly kind: 'prepare'; readonly name: string; readonly prepared: PreparedShape }
+  | { readonly kind: 'prepare'; readonly name: string; readonly prepared: PreparedStatement }
   | { readonly kind: 'execute'; readonly name: string; readonly operands: string }
   | { readonly kind: 'deallocate'; readonly name: string };
 
 /** A prepared statement. */
-export interface PreparedShape {
+export interface PreparedStatement {
   readonly isWrite: boolean;
   /** Statement text without its operands, opaque. */
   readonly shape: string;
--- a/src/relay/transaction.test.ts
+++ b/src/relay/transaction.test.ts
@@ -45,8 +45,8 @@
     dialTimeoutMs: 100,
     limitBackoffMs: 10,
     serviceMs: () => 10,
-    idleMs: 1000,
-    onTrouble: () => undefined,
+    idleTimeoutMs: 1000,
+    onFailure: () => undefined,
     random: () => 0.5,
     now: () => 0,
   });
@@ -77,9 +77,9 @@
     ownName: 'd',
   });
   group.members.set('m', new Member(entry, connections));
-  group.evidence.believe({ memberId: 'm', term: 1 });
+  group.evidence.observeLeader({ memberId: 'm', term: 1 });
   group.evidence.confirm();
-  group.evidence.vouch(1e9, 0);
+  group.evidence.renewUnderDuty(1e9, 0);
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -88,7 +88,7 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now: () => 0,
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     readStatus: () => null,
     suspect: () => undefined,
   };
--- a/src/relay/transaction.ts
+++ b/src/relay/transaction.ts
@@ -9,13 +9,13 @@
 import type { Route } from '../topology/catalog.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import { proveCommit } from './commit-proof.js';
-import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './lead-proof.js';
+import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './leader-identity.js';
 import { dueAt } from './link-queue.js';
 import { DialError, hasLostLog, NotSentError, type MemberReply } from './member-link.js';
 import type { SessionLink, SessionValues } from './session-link.js';
 import { readCandidates, readFloor, recordReplicaProgress } from './read-runner.js';
 import { Refusal, type RefusalDetails } from './refusal.js';
-import { RETRY_AFTER_MS, RETRY_PAUSE_MS, type RelayContext } from './relay-context.js';
+import { RETRY_AFTER_MS, RETRY_DELAY_MS, type RelayContext } from './relay-context.js';
 import { sendStatement, type SessionStatement } from './send-statement.js';
 import {
   awaitLeader,
@@ -165,17 +165,17 @@
         this.#lastReason = 'an earlier commit is slow';
         if (shouldStopWaiting(context, options.group, options.group.commits.isStalled(now), wait))
           return null;
-        await options.group.changed.wait(RETRY_PAUSE_MS);
+        await options.group.changed.wait(RETRY_DELAY_MS);
         continue;
       }
       if (this.#excluded.size > 0) {
         this.#excluded.clear();
-        await options.group.changed.wait(RETRY_PAUSE_MS);
+        await options.group.changed.wait(RETRY_DELAY_MS);
         continue;
       }
       if (!this.#mayUseReplica()) return awaitLeader(context, options.group, waitUntilMs, wait);
       if (shouldStopWaiting(context, options.group, false, wait)) return null;
-      await options.group.changed.wait(Math.min(RETRY_PAUSE_MS, waitUntilMs - now));
+      await options.group.changed.wait(Math.min(RETRY_DELAY_MS, waitUntilMs - now));
     }
   }
 
@@ -266,7 +266,7 @@
     const { context, options } = this;
     const { group, route, isReadOnly } = options;
     const { member, link, isLeader } = pinned;
-    await link.adoptValues(step.values);
+    await link.setSessionValues(step.values);
     if (isLeader && group.leader(context.now()) !== member) return 'no evidence of the leader';
     const floor = isLeader ? null : readFloor(group, route, options.sessionFloor, options.receivedAtMs);
     if (!isLeader && floor === null) return 'no position of the leader';
@@ -301,7 +301,7 @@
         const isBusy = !reply.result.isComplete && reply.result.code === 'busy' && reply.state === 'open';
         if (!isBusy) return reply;
         this.#wasStepSent = false;
-        await this.options.group.changed.wait(RETRY_PAUSE_MS);
+        await this.options.group.changed.wait(RETRY_DELAY_MS);
         if (this.#isEnded) throw new Refusal('aborted', 'not_run', 'the transaction was ended');
       }
     } catch (error) {
@@ -319,7 +319,7 @@
     const { group } = options;
     const { link, isLeader, member } = pinned;
     const isWriteCommit = step.kind === 'commit' && this.#hasWritten;
-    const commit = isWriteCommit ? group.commits.sent(context.now()) : null;
+    const commit = isWriteCommit ? group.commits.recordSent(context.now()) : null;
     const sending = sendStatement(link, step.statement, step.requestId, step.values, null, () => {
       if (this.#isEnded) return 'the transaction was ended';
       if (step.kind === 'write') this.#hasWritten = true;
@@ -334,7 +334,7 @@
         return answer;
       })
       .finally(() => {
-        if (commit !== null) group.commits.ended(commit, isAnswered, context.now());
+        if (commit !== null) group.commits.recordEnded(commit, isAnswered, context.now());
       });
     if (typeof sent === 'string') throw new Refusal('aborted', 'not_run', sent, RETRY_AFTER_MS);
     const { reply, sentAtMs } = sent;
--- a/src/relay/verdicts.test.ts
+++ b/src/relay/verdicts.test.ts
@@ -135,7 +135,7 @@
   const script = new Script(actions);
   const now = (): number => performance.now();
   const group = testGroup({ leader: script, first: script, second: script }, now);
-  if (hasEvidence) group.evidence.witness(1, 0, now());
+  if (hasEvidence) group.evidence.recordWitness(1, 0, now());
   group.recordLed(now() - 100, { term: 1, index: 5 });
   const context: RelayContext = {
     catalog: new Catalog(),
@@ -145,7 +145,7 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now,
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     readStatus: () => null,
     suspect: () => undefined,
   };
@@ -196,7 +196,7 @@
 test('a write, which also runs at most once', async () => {
   const property = fc.asyncProperty(SCRIPTS, fc.boolean(), async (deeds, isCommitSlow) => {
     const { script, context, group } = scene(deeds, true);
-    if (isCommitSlow) group.commits.sent(performance.now() - 200);
+    if (isCommitSlow) group.commits.recordSent(performance.now() - 200);
     const job = {
       requestId: 'w',
       statement: PLAIN,
--- a/src/relay/write-runner.test.ts
+++ b/src/relay/write-runner.test.ts
@@ -39,8 +39,8 @@
     pool: { acquire: () => Promise.reject(new Error(`unexpected connection request ${(acquired += 1)}`)) },
   };
   group.members.set('m', leader as unknown as Member);
-  group.evidence.believe({ memberId: 'm', term: 1 });
-  group.evidence.witness(1, 0, now);
+  group.evidence.observeLeader({ memberId: 'm', term: 1 });
+  group.evidence.recordWitness(1, 0, now);
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -49,11 +49,11 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now: () => (now += STEP_MS),
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     readStatus: () => null,
     suspect: () => undefined,
   };
-  const commit = group.commits.sent(now - 400);
+  const commit = group.commits.recordSent(now - 400);
   const job = {
     requestId: 'x',
     statement: { kind: 'plain', payload: 'WRITE k v' },
@@ -73,7 +73,7 @@
   });
   assert.equal(acquired, 0);
   assert.ok(now - sentAtMs < ROUTE.timeoutMs / 2);
-  group.commits.ended(commit, true, now);
+  group.commits.recordEnded(commit, true, now);
   const later = new WriteRunner(context, { ...job, deadlineMs: now + 100 }).run();
   await assert.rejects(later, Refusal);
   assert.ok(acquired > 0, 'sent again once commits are answered');
@@ -97,8 +97,8 @@
     },
   };
   group.members.set('m', leader as unknown as Member);
-  group.evidence.believe({ memberId: 'm', term: 1 });
-  group.evidence.witness(1, 0, performance.now());
+  group.evidence.observeLeader({ memberId: 'm', term: 1 });
+  group.evidence.recordWitness(1, 0, performance.now());
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
@@ -107,7 +107,7 @@
     observer: QUIET_OBSERVER,
     group: () => group,
     now: () => performance.now(),
-    plannedStop: () => null,
+    shutdownSchedule: () => null,
     readStatus: () => null,
     suspect: () => undefined,
   };
--- a/src/relay/write-runner.ts
+++ b/src/relay/write-runner.ts
@@ -8,13 +8,13 @@
 import type { Route } from '../topology/catalog.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
 import { proveCommit } from './commit-proof.js';
-import { recordLeaderPosition } from './lead-proof.js';
+import { recordLeaderPosition } from './leader-identity.js';
 import { dueAt, type LinkDemand } from './link-queue.js';
 import { DialError, NotSentError, type MemberReply } from './member-link.js';
 import type { SessionValues } from './session-link.js';
 import { Refusal, type RefusalDetails } from './refusal.js';
 import { shouldRefuseEarly } from './early-refusal.js';
-import { RETRY_AFTER_MS, RETRY_PAUSE_MS, type RelayContext } from './relay-context.js';
+import { RETRY_AFTER_MS, RETRY_DELAY_MS, type RelayContext } from './relay-context.js';
 import { sendStatement, type SessionStatement } from './send-statement.js';
 
 /** A write to be run. */
@@ -125,7 +125,7 @@
         const isStalled = commits.isStalled(context.now());
         this.#lastReason = isStalled ? 'commits stall' : 'an earlier commit is slow';
         if (shouldStopWaiting(context, job.group, isStalled, wait)) throw this.#notRun();
-        await job.group.changed.wait(RETRY_PAUSE_MS);
+        await job.group.changed.wait(RETRY_DELAY_MS);
         continue;
       }
       const reply = await this.#attempt(leader);
@@ -138,7 +138,7 @@
         member: leader.entry.memberId,
         reason: this.#lastReason,
       });
-      await job.group.changed.wait(RETRY_PAUSE_MS);
+      await job.group.changed.wait(RETRY_DELAY_MS);
     }
   }
 
@@ -169,7 +169,7 @@
     let sentAtMs = 0;
     const { leader: expectedLeader } = job.group.evidence;
     const deadlineTimer = setTimeout(() => link.close(), job.deadlineMs - context.now());
-    const commit = job.group.commits.sent(context.now());
+    const commit = job.group.commits.recordSent(context.now());
     let isAnswered = false;
     try {
       const sent = await sendStatement(link, job.statement, job.requestId, job.values, null, () => {
@@ -200,7 +200,7 @@
         ...this.#details(),
       });
     } finally {
-      job.group.commits.ended(commit, isAnswered, context.now());
+      job.group.commits.recordEnded(commit, isAnswered, context.now());
       clearTimeout(deadlineTimer);
       leader.pool.release(link);
     }
--- a/src/tenancy/lease-renewal.test.ts
+++ b/src/tenancy/lease-renewal.test.ts
@@ -211,7 +211,7 @@
     assert.equal(asked.length, 2);
     await renewal.renew();
     assert.equal(asked.length, 2);
-    store.era.hear(1);
+    store.era.observe(1);
     assert.equal(await renewal.renew(), false);
     assert.equal(asked.length, 3);
   });
--- a/src/topology/member-directory.test.ts
+++ b/src/topology/member-directory.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { HEARTBEAT_MS, ListedMembers, LEAVE_MS, entryOf } from '../../test/support/listed-members.js';
-import type { PreparedShape } from '../relay/statement.js';
+import type { PreparedStatement } from '../relay/statement.js';
 import { formatIncarnation } from './incarnation.js';
 import type { Member, MemberEntry } from './member-group.js';
 
@@ -142,8 +142,8 @@
   test('ends the belief that the id leads, and puts the leader in doubt', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
-    scene.group().evidence.believe({ memberId: 'm', term: 3 });
-    scene.group().evidence.witness(3, 0, scene.now);
+    scene.group().evidence.observeLeader({ memberId: 'm', term: 3 });
+    scene.group().evidence.recordWitness(3, 0, scene.now);
     scene.directory.listed(SECOND);
     assert.equal(scene.group().evidence.leader, null);
     assert.equal(scene.group().leader(scene.now), null);
@@ -153,7 +153,7 @@
   test('of another member leaves the leader alone', () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
-    scene.group().evidence.believe({ memberId: 'other', term: 3 });
+    scene.group().evidence.observeLeader({ memberId: 'other', term: 3 });
     scene.directory.listed(SECOND);
     assert.deepEqual(scene.group().evidence.leader, { memberId: 'other', term: 3 });
     assert.deepEqual(scene.doubted, []);
@@ -180,12 +180,12 @@
   test('has none of the session values and prepared names of the earlier one', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
-    const prepared = { shape: 's', isWrite: false } as PreparedShape;
+    const prepared = { shape: 's', isWrite: false } as PreparedStatement;
     for (const entry of [FIRST, SECOND]) {
       scene.directory.listed(entry);
       const member = scene.member();
       const link = await scene.use(member);
-      await link.adoptValues(new Map([['lang', 'ur']]));
+      await link.setSessionValues(new Map([['lang', 'ur']]));
       await link.prepare(prepared);
       member.pool.release(link);
     }
@@ -300,7 +300,7 @@
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const member = scene.member();
-    scene.group().evidence.believe({ memberId: 'm', term: 3 });
+    scene.group().evidence.observeLeader({ memberId: 'm', term: 3 });
     scene.directory.unreadable('m');
     assert.equal(scene.group().members.size, 0);
     assert.equal(scene.group().formerOf('m'), member, 'it may still run');
--- a/src/topology/member-directory.ts
+++ b/src/topology/member-directory.ts
@@ -242,7 +242,7 @@
     }
     if (used !== undefined) this.#logOut(group, used, 'reborn');
     if (group.evidence.leader?.memberId !== memberId) return;
-    group.evidence.loseLeader();
+    group.evidence.clearLeader();
     this.options.leaderInDoubt(group);
   }
 
@@ -312,7 +312,7 @@
     const details = { group: group.name, member: memberId, born: bornMs, primary: saysPrimary };
     this.options.log('member_role', details);
     if (isLeader === saysPrimary) return;
-    group.evidence.loseLeader();
+    group.evidence.clearLeader();
     this.options.leaderInDoubt(group);
   }
 
@@ -341,7 +341,7 @@
     group.members.delete(memberId);
     group.keepFormer(member);
     member.pool.own.close();
-    if (group.evidence.leader?.memberId === memberId) group.evidence.loseLeader();
+    if (group.evidence.leader?.memberId === memberId) group.evidence.clearLeader();
     this.#logOut(group, member, reason);
   }
 
--- a/src/topology/member-group.ts
+++ b/src/topology/member-group.ts
@@ -5,10 +5,10 @@
  */
 import { ChangeSignal } from '../common/signal.js';
 import type { Acknowledged } from '../leadership/acknowledged.js';
-import { CommitWatch } from '../leadership/commit-watch.js';
+import { CommitTracker } from '../leadership/commit-tracker.js';
 import type { LastLed } from '../leadership/last-led.js';
 import { CallNote } from '../leadership/open-calls.js';
-import { LeadershipEvidence, type CommitStanding, type Leader } from '../leadership/leadership-evidence.js';
+import { LeadershipEvidence, type CommitStatus, type Leader } from '../leadership/leadership-evidence.js';
 import { PositionHistory, type ReadFloor } from '../leadership/position-history.js';
 import { formatIncarnation, type Incarnation } from './incarnation.js';
 import { ReplicaLag } from './replica-lag.js';
@@ -161,7 +161,7 @@
   readonly former = new Map<string, Member>();
   readonly evidence: LeadershipEvidence;
   readonly positions = new PositionHistory();
-  readonly commits = new CommitWatch();
+  readonly commits = new CommitTracker();
   /** What the holder of the duty has told of its calls of the platform. */
   readonly calls = new CallNote();
   /** Since when no leader has been proven, in monotonic milliseconds; `null` while one is. */
@@ -199,8 +199,8 @@
   }
 
   /** Notes a commit that is acknowledged at once if it is `proven`; else it must not be, yet or at all. */
-  acknowledge(position: Position, nowMs: number): CommitStanding {
-    const standing = this.evidence.standing(position.term, nowMs);
+  acknowledge(position: Position, nowMs: number): CommitStatus {
+    const standing = this.evidence.commitStatus(position.term, nowMs);
     if (standing === 'proven') this.#acknowledged = laterPosition(this.#acknowledged, position);
     return standing;
   }
@@ -232,7 +232,7 @@
    * @param held - what it says itself that it has received, or `null` where that is not known
    */
   learnLeader(leader: Leader, held: Position | null): boolean {
-    const isNews = this.evidence.believe(leader);
+    const isNews = this.evidence.observeLeader(leader);
     const { leader: believed } = this.evidence;
     if (believed?.memberId !== leader.memberId || believed.term !== leader.term) return isNews;
     const member = this.members.get(leader.memberId) ?? this.formerOf(leader.memberId);
--- a/src/topology/member-lives.property.test.ts
+++ b/src/topology/member-lives.property.test.ts
@@ -134,7 +134,8 @@
         return;
       case 'lead':
         for (const group of scene.groups.values())
-          if (group.members.has(next.id)) group.evidence.believe({ memberId: next.id, term: scene.now });
+          if (group.members.has(next.id))
+            group.evidence.observeLeader({ memberId: next.id, term: scene.now });
         return;
       case 'use':
         for (const group of scene.groups.values()) {
--- a/test/integration/connection-congestion.test.ts
+++ b/test/integration/connection-congestion.test.ts
@@ -162,9 +162,9 @@
       budget: () => budget,
       dialTimeoutMs: 400,
       limitBackoffMs: 100,
-      idleMs: 800,
+      idleTimeoutMs: 800,
       serviceMs: () => MODEL.workMs,
-      onTrouble: () => undefined,
+      onFailure: () => undefined,
       now: () => this.time.now,
       random: () => 0.5,
     });
--- a/test/model/duty-model.test.ts
+++ b/test/model/duty-model.test.ts
@@ -20,11 +20,11 @@
   DutyHistory,
   formatDutyRecord,
   nextFence,
-  presentRecord,
+  currentRecord,
   readDutyRecord,
   readFence,
   type DutyRecord,
-  type DutySight,
+  type DutyObservation,
 } from '../../src/coordination/duty-record.js';
 import type { StoredItem } from '../../src/coordination/coordination-store.js';
 import { isSameRevision, NO_REVISION, type Revision } from '../../src/coordination/revision.js';
@@ -192,7 +192,7 @@
   isCut = false;
   #lives = 0;
   #history = new DutyHistory();
-  #sight: (DutySight & { readonly fenceItem: StoredItem | null }) | null = null;
+  #sight: (DutyObservation & { readonly fenceItem: StoredItem | null }) | null = null;
   #leaseId = 0;
   #fence: number | null = null;
   #untilMs = 0;
@@ -240,14 +240,14 @@
     };
     if (isLater && this.without !== 'a rise of the era ends the duty') this.#lose();
     this.#observe(this.#sight, nowMs);
-    const held = presentRecord(this.#sight);
+    const held = currentRecord(this.#sight);
     if (this.#fence !== null && !this.#isOurs(held)) this.#lose();
   }
 
   acquire(nowMs: number, pending: Change[] | null): void {
     const sight = this.#sight;
     if (sight === null || this.isCut || this.#fence !== null || sight.era !== this.store.era) return;
-    const held = presentRecord(sight);
+    const held = currentRecord(sight);
     if (held?.state === 'held' && held.holder !== this.name) return;
     const freeFromMs = this.#history.freeFromMs(held?.state === 'held' ? held.life : this.life);
     const leaseId = this.store.grant(nowMs);
@@ -302,11 +302,11 @@
     };
   }
 
-  #observe(sight: DutySight, nowMs: number): void {
+  #observe(sight: DutyObservation, nowMs: number): void {
     this.#history.observe(sight, nowMs);
     if (this.without !== 'who sees an era first waits for a holder that it cannot see') return;
     // As a record that had been released: it is not waited for.
-    if (presentRecord(sight) !== null) return;
+    if (currentRecord(sight) !== null) return;
     const revision: Revision = { era: sight.era, number: -1 };
     this.#history.observe(
       { ...sight, revision, record: { state: 'released', fence: 0, actsInMs: 0, era: sight.era } },
--- a/test/model/promotion-model.test.ts
+++ b/test/model/promotion-model.test.ts
@@ -26,12 +26,12 @@
 import { joinAcknowledged, type Acknowledged } from '../../src/leadership/acknowledged.js';
 import { chooseSuccessor, type SuccessorCandidate } from '../../src/leadership/choose-successor.js';
 import {
-  EVIDENCE_MS,
+  EVIDENCE_VALIDITY_MS,
   LeadershipEvidence,
   REGISTRATION_SETTLE_MS,
   WITNESS_KNOWN_MS,
 } from '../../src/leadership/leadership-evidence.js';
-import { LostLives } from '../../src/leadership/lost-lives.js';
+import { LostIncarnations } from '../../src/leadership/lost-incarnations.js';
 import { hasReached, ZERO_POSITION, type Position } from '../../src/position/position.js';
 import { Member } from '../../src/topology/member-group.js';
 
@@ -168,7 +168,7 @@
   readonly #replicas: Replica[];
   readonly #registration = new Registration(RECORD);
   readonly #evidence: LeadershipEvidence;
-  readonly #lost = new LostLives();
+  readonly #lost = new LostIncarnations();
   #isRegistered = false;
   #asked: {
     readonly atMs: number;
@@ -204,7 +204,7 @@
     this.#evidence = new LeadershipEvidence(() =>
       settles ? this.#registration.countsFromMs : Number.NEGATIVE_INFINITY,
     );
-    this.#evidence.believe({ memberId: 'old', term: OLD_TERM });
+    this.#evidence.observeLeader({ memberId: 'old', term: OLD_TERM });
     this.#registration.firstLook(scene.isNew ? NOBODY : REGISTERED, this.#now);
     this.#replicas = MEMBERS.slice(0, 2).map((member) => new Replica(member, BASE));
     if (!scene.isNew) this.#register();
@@ -270,8 +270,8 @@
     const countsFrom = this.without === 'evidence counts from the question' ? this.#now : asked.atMs;
     const isTaken =
       asked.isKnown || this.without === 'a witness has been known for longer than a promotion lasts';
-    if (isTaken) this.#evidence.witness(asked.term, asked.isPaused ? OLD_TERM + 1 : 0, countsFrom);
-    else this.#evidence.noteTerm(asked.term);
+    if (isTaken) this.#evidence.recordWitness(asked.term, asked.isPaused ? OLD_TERM + 1 : 0, countsFrom);
+    else this.#evidence.observeTerm(asked.term);
     this.#lookForEvidence();
   }
 
@@ -287,7 +287,7 @@
   /** The answer has come: this is the last time at which the daemon looks for evidence, which it may have waited for. */
   #acknowledge(): void {
     if (!this.#isReceived) return;
-    const isProven = this.#evidence.standing(OLD_TERM, this.#now) === 'proven';
+    const isProven = this.#evidence.commitStatus(OLD_TERM, this.#now) === 'proven';
     const needsProof = this.without !== 'a commit is acknowledged only with evidence at its answer';
     if (needsProof && !isProven) return;
     this.#isAcknowledged = true;
@@ -308,7 +308,7 @@
     if (this.scene.silentTo === 'all') return;
     this.#evidence.revoke(OLD_TERM, this.#now);
     this.#told = this.#tells();
-    if (this.without === 'revoked evidence is not gathered again') this.#evidence.allowAgain();
+    if (this.without === 'revoked evidence is not gathered again') this.#evidence.liftRevocation();
   }
 
   /** Pauses may take long, also while the duty is held. */
@@ -324,7 +324,7 @@
 
   #hear({ member, received }: Replica): void {
     const status = { isPrimary: false, term: OLD_TERM, received, pausedForTerm: OLD_TERM + 1 };
-    this.#lost.heard(member, status, this.#now);
+    this.#lost.recordStatus(member, status, this.#now);
   }
 
   /** The holder goes on, unless it stood still. */
@@ -347,7 +347,7 @@
     const mustWait =
       (isSilent && this.without !== 'wait for silent daemons') ||
       (isLate && this.without !== 'late pauses are waited out');
-    if (mustWait) this.#waitUntil(this.#pausedAtMs + EVIDENCE_MS);
+    if (mustWait) this.#waitUntil(this.#pausedAtMs + EVIDENCE_VALIDITY_MS);
   }
 
   #seal(): void {
@@ -360,14 +360,14 @@
     }
     if (!this.#wasAsked || this.scene.silentTo === 'all' || this.without === 'the last word (seal)') return;
     if (this.scene.silentTo === 'seal') {
-      this.#waitUntil(this.#startedAtMs + EVIDENCE_MS);
+      this.#waitUntil(this.#startedAtMs + EVIDENCE_VALIDITY_MS);
       const isOpen = this.without !== 'what a daemon without a last word may have acknowledged is open';
       if (isOpen && this.#told !== null) this.#told = { latest: this.#told.latest, limit: null };
       return;
     }
     this.#evidence.seal(OLD_TERM, this.#now);
     this.#told = this.#tells();
-    if (this.without === 'revoked evidence is not gathered again') this.#evidence.allowAgain();
+    if (this.without === 'revoked evidence is not gathered again') this.#evidence.liftRevocation();
   }
 
   /** Positions are those of now; one that has lost its pause gives the promotion up. */
@@ -398,7 +398,7 @@
     if (this.#paused.length === pausedBefore) return;
     const isSilent = this.#wasAsked && this.scene.silentTo !== 'none';
     const isLate = this.#now - this.#startedAtMs > REGISTRATION_SETTLE_MS - REGISTER_MARGIN_MS;
-    if (isSilent || isLate) this.#waitUntil(this.#now + EVIDENCE_MS);
+    if (isSilent || isLate) this.#waitUntil(this.#now + EVIDENCE_VALIDITY_MS);
   }
 
   #call(): void {
--- a/test/support/listed-members.ts
+++ b/test/support/listed-members.ts
@@ -133,9 +133,9 @@
       budget: () => 4,
       dialTimeoutMs: 50,
       limitBackoffMs: 5,
-      idleMs: 60_000,
+      idleTimeoutMs: 60_000,
       serviceMs: () => 5,
-      onTrouble: () => undefined,
+      onFailure: () => undefined,
       random: () => 0.5,
       now,
     });
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -9,15 +9,15 @@
   type CoordinationStore,
   type StoredItem,
   type StoreTransaction,
-  type TransactionAnswer,
-  type WatchAnswer,
+  type TransactionResult,
+  type WatchResponse,
 } from '../../src/coordination/coordination-store.js';
 import { isSameRevision, NO_REVISION, type Revision } from '../../src/coordination/revision.js';
 import { StoreEra } from '../../src/coordination/store-era.js';
 
 function firstEra(): StoreEra {
   const era = new StoreEra();
-  era.hear(0);
+  era.observe(0);
   return era;
 }
 
@@ -29,7 +29,7 @@
   /** Number of the present revision. */
   number = 1;
   isDown = false;
-  watchAnswers: WatchAnswer[] = [];
+  watchAnswers: WatchResponse[] = [];
   lists = 0;
   reads = 0;
 
@@ -56,14 +56,14 @@
       : { kind: 'changed', item };
   }
 
-  async watch(): Promise<WatchAnswer> {
+  async watch(): Promise<WatchResponse> {
     const next = this.watchAnswers.shift();
     if (next !== undefined) return next;
     await new Promise((resolve) => setTimeout(resolve, 1));
     return { kind: 'events', events: [], revision: this.revision };
   }
 
-  transact({ conditions, puts }: StoreTransaction): Promise<TransactionAnswer> {
+  transact({ conditions, puts }: StoreTransaction): Promise<TransactionResult> {
     if (this.isDown) return Promise.reject(new StoreError('down', true));
     const isMet = conditions.every(({ key, revision }) =>
       isSameRevision(this.items.get(key)?.revision ?? NO_REVISION, revision),
@@ -91,7 +91,7 @@
         this.items.set(key, { ...item, revision: { era, number: item.revision.number } });
     this.leases.clear();
     this.number = copy.number;
-    this.era.hear(era);
+    this.era.observe(era);
   }
 
   grantLease(ttlMs: number): Promise<{ leaseId: number; ttlMs: number }> {
@@ -101,12 +101,12 @@
     return Promise.resolve({ leaseId, ttlMs });
   }
 
-  keepLease(leaseId: number): Promise<boolean> {
+  renewLease(leaseId: number): Promise<boolean> {
     if (this.isDown) return Promise.reject(new StoreError('down', true));
     return Promise.resolve(this.leases.has(leaseId));
   }
 
-  endLease(leaseId: number): Promise<void> {
+  revokeLease(leaseId: number): Promise<void> {
     this.leases.delete(leaseId);
     for (const item of [...this.items.values()]) if (item.leaseId === leaseId) this.items.delete(item.key);
     return Promise.resolve();
--- a/test/support/modelled-group.ts
+++ b/test/support/modelled-group.ts
@@ -66,7 +66,7 @@
     memberIds.forEach((memberId, index) => this.add(memberId, index));
     const first = this.member(memberIds[0] ?? '');
     first.isPrimary = true;
-    this.group.evidence.believe({ memberId: first.memberId, term: FIRST_TERM });
+    this.group.evidence.observeLeader({ memberId: first.memberId, term: FIRST_TERM });
     this.supervisor = new GroupSupervisor(this.group, {
       control: {
         ask: (member: Member, request: MemberRequest) => this.#ask(member, request),
@@ -79,9 +79,9 @@
       },
       heldFence: (reserveMs) => (this.isDutyHeld && reserveMs < this.heldForMs ? 1 : null),
       order: (order, _timeoutMs, recipients) => this.#order(order, recipients),
-      callerCount: () => 2,
-      isLent: () => false,
-      confirmLeader: () => undefined,
+      connectedDaemonCount: () => 2,
+      usesGateways: () => false,
+      leaderPromoted: () => undefined,
       log: (event) => void this.events.push(event),
       now: () => performance.now(),
     });
--- a/test/support/next-life.ts
+++ b/test/support/next-life.ts
@@ -33,6 +33,6 @@
   group.members.delete(memberId);
   group.keepFormer(before);
   group.members.set(memberId, new Member({ ...before.entry, bornMs: lastBornMs }, {} as MemberConnections));
-  if (group.evidence.leader?.memberId === memberId) group.evidence.loseLeader();
+  if (group.evidence.leader?.memberId === memberId) group.evidence.clearLeader();
   return before;
 }
--- a/test/support/relay-members.ts
+++ b/test/support/relay-members.ts
@@ -30,9 +30,9 @@
     budget: () => 1,
     dialTimeoutMs: 50,
     limitBackoffMs: 5,
-    idleMs: 1000,
+    idleTimeoutMs: 1000,
     serviceMs: () => 5,
-    onTrouble: () => undefined,
+    onFailure: () => undefined,
     random: () => 0.5,
     now,
   });
@@ -55,6 +55,6 @@
   const group = new MemberGroup(GROUP);
   for (const [memberId, dialer] of Object.entries(dialers))
     group.members.set(memberId, testMember(memberId, dialer, now));
-  group.evidence.believe({ memberId: 'leader', term: 1 });
+  group.evidence.observeLeader({ memberId: 'leader', term: 1 });
   return group;
 }
--- a/test/support/seen-store.ts
+++ b/test/support/seen-store.ts
@@ -10,8 +10,8 @@
   type GrantedLease,
   type StoredItem,
   type StoreTransaction,
-  type TransactionAnswer,
-  type WatchAnswer,
+  type TransactionResult,
+  type WatchResponse,
 } from '../../src/coordination/coordination-store.js';
 import { NO_REVISION, type Revision } from '../../src/coordination/revision.js';
 import { StoreEra } from '../../src/coordination/store-era.js';
@@ -47,11 +47,11 @@
     return this.#ask(() => this.store.readIfChanged(key, known));
   }
 
-  watch(): Promise<WatchAnswer> {
+  watch(): Promise<WatchResponse> {
     return this.#ask(() => this.store.watch());
   }
 
-  transact(transaction: StoreTransaction): Promise<TransactionAnswer> {
+  transact(transaction: StoreTransaction): Promise<TransactionResult> {
     return this.#ask(() => this.store.transact(transaction));
   }
 
@@ -59,12 +59,12 @@
     return this.#ask(() => this.store.grantLease(ttlMs));
   }
 
-  keepLease(leaseId: number): Promise<boolean> {
-    return this.#ask(() => this.store.keepLease(leaseId));
+  renewLease(leaseId: number): Promise<boolean> {
+    return this.#ask(() => this.store.renewLease(leaseId));
   }
 
-  endLease(leaseId: number): Promise<void> {
-    return this.#ask(() => this.store.endLease(leaseId));
+  revokeLease(leaseId: number): Promise<void> {
+    return this.#ask(() => this.store.revokeLease(leaseId));
   }
 
   async #ask<T>(call: () => Promise<T>): Promise<T> {
@@ -74,6 +74,6 @@
 
   #reach(): void {
     if (this.isCut) throw new StoreError('cut off', false);
-    this.era.hear(this.store.era.current);
+    this.era.observe(this.store.era.current);
   }
 }
