--- a/src/peer/message-channel.ts
+++ b/src/peer/message-channel.ts
@@ -1,21 +1,22 @@
 /**
- * Carries typed messages over one TCP connection: a four-byte length, then the message in MessagePack.
+ * Typed messages over one TCP connection. A frame is a four-byte length followed by the message in
+ * MessagePack.
  *
  * @packageDocumentation
  */
 import type { Socket } from 'node:net';
 import { Packr } from 'msgpackr';
 
-/** Receives what arrives on a channel. */
+/** Callbacks of a channel. */
 export interface ChannelListener<Message> {
   message(message: Message): void;
-  /** Called once, when the connection has ended for whatever reason. */
+  /** Called once when the connection has ended, for any reason. */
   closed(): void;
 }
 
 const LENGTH_BYTES = 4;
 
-/** Names of fields are sent once over each connection, with the first message of each shape. */
+/** Field names are sent once per connection, with the first message of each shape. */
 function newCodec(): Packr {
   return new Packr({ useRecords: true, int64AsType: 'number', sequential: true });
 }
@@ -23,10 +24,10 @@
 /**
  * A connection that carries messages of one type.
  *
- * A frame above the limit, or one that cannot be decoded, ends the connection.
+ * A frame that exceeds the size limit or cannot be decoded closes the connection.
  */
 export class MessageChannel<Message> {
-  /** Monotonic time of the last arrival, in milliseconds. */
+  /** Monotonic time at which data was last received, in milliseconds. */
   lastReceivedMs = performance.now();
   /** Bytes sent so far. */
   bytesSent = 0;
@@ -34,8 +35,8 @@
   bytesReceived = 0;
   readonly #encoder = newCodec();
   readonly #decoder = newCodec();
-  #pending: Buffer[] = [];
-  #pendingBytes = 0;
+  #unparsed: Buffer[] = [];
+  #unparsedBytes = 0;
   #outgoing: Buffer[] = [];
   #isFlushScheduled = false;
   #isEnding = false;
@@ -59,7 +60,7 @@
     return this.#closed;
   }
 
-  /** Sends a message; messages of one turn of the event loop leave in one write. */
+  /** Sends a message; messages sent in the same turn of the event loop are flushed in one write. */
   send(message: Message): void {
     if (this.#closed || this.#isEnding) return;
     const body = this.#encoder.pack(message);
@@ -71,14 +72,14 @@
     setImmediate(() => this.#flush());
   }
 
-  /** Ends the connection at once. */
+  /** Closes the connection without flushing outgoing messages. */
   destroy(): void {
     this.socket.destroy();
   }
 
   /**
-   * Sends what is waiting, then ends the connection; nothing can be sent after that. Resolves once the connection has ended: the
-   * other end has then read everything, unless it has gone.
+   * Flushes outgoing messages, then closes the connection; later sends are ignored. Resolves once the
+   * connection has ended: the remote end has then read everything, unless it has failed.
    */
   end(): Promise<void> {
     if (!this.#isEnding) {
@@ -101,34 +102,34 @@
   #receive(chunk: Buffer): void {
     this.lastReceivedMs = performance.now();
     this.bytesReceived += chunk.length;
-    this.#pending.push(chunk);
-    this.#pendingBytes += chunk.length;
-    while (!this.#closed && this.#deliverOne());
+    this.#unparsed.push(chunk);
+    this.#unparsedBytes += chunk.length;
+    while (!this.#closed && this.#deliverNext());
   }
 
-  /** Delivers the first message if it is whole; joins chunks only once it is. */
-  #deliverOne(): boolean {
-    if (this.#pendingBytes < LENGTH_BYTES) return false;
-    if ((this.#pending[0]?.length ?? 0) < LENGTH_BYTES) this.#join();
-    const length = this.#pending[0]?.readUInt32BE(0) ?? 0;
+  /** Delivers the next message if all of it has been received; chunks are joined only then. */
+  #deliverNext(): boolean {
+    if (this.#unparsedBytes < LENGTH_BYTES) return false;
+    if ((this.#unparsed[0]?.length ?? 0) < LENGTH_BYTES) this.#joinUnparsed();
+    const length = this.#unparsed[0]?.readUInt32BE(0) ?? 0;
     if (length > this.maxMessageBytes) {
       this.socket.destroy();
       return false;
     }
-    if (this.#pendingBytes < LENGTH_BYTES + length) return false;
-    this.#join();
-    const data = this.#pending[0] ?? Buffer.alloc(0);
+    if (this.#unparsedBytes < LENGTH_BYTES + length) return false;
+    this.#joinUnparsed();
+    const data = this.#unparsed[0] ?? Buffer.alloc(0);
     const end = LENGTH_BYTES + length;
-    this.#pending = end < data.length ? [data.subarray(end)] : [];
-    this.#pendingBytes -= end;
-    return this.#deliver(data.subarray(LENGTH_BYTES, end));
+    this.#unparsed = end < data.length ? [data.subarray(end)] : [];
+    this.#unparsedBytes -= end;
+    return this.#decodeAndDeliver(data.subarray(LENGTH_BYTES, end));
   }
 
-  #join(): void {
-    if (this.#pending.length > 1) this.#pending = [Buffer.concat(this.#pending)];
+  #joinUnparsed(): void {
+    if (this.#unparsed.length > 1) this.#unparsed = [Buffer.concat(this.#unparsed)];
   }
 
-  #deliver(body: Buffer): boolean {
+  #decodeAndDeliver(body: Buffer): boolean {
     let message: Message;
     try {
       message = this.#decoder.unpack(body) as Message;
--- a/src/peer/peer-link.test.ts
+++ b/src/peer/peer-link.test.ts
@@ -1,5 +1,6 @@
 /**
- * A request that arrives after its sender has given up on the link must not be begun.
+ * A request that arrives after its sender has closed the link must not be started: its client was told that
+ * it may have run, and may have written a newer value since.
  *
  * @packageDocumentation
  */
@@ -7,7 +8,7 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { test } from 'node:test';
 import type { StatementRequest } from '../engine/statement-request.js';
-import { LinkPatience } from './link-patience.js';
+import { DeadlineTranslator } from './deadline-translator.js';
 import { PeerLink, type ForwardSink } from './peer-link.js';
 import { PeerServer } from './peer-server.js';
 
@@ -24,7 +25,7 @@
   ownedDatabases: [],
 };
 
-function write(streamId: string): StatementRequest {
+function writeRequest(streamId: string): StatementRequest {
   return {
     database: 'quotes',
     user: 'agent',
@@ -46,11 +47,11 @@
   };
 }
 
-/** Passes bytes on, or keeps those of the client back until they are released. */
-class HoldingRelay {
+/** Forwards bytes in both directions, or buffers those of the client until they are released. */
+class DelayingProxy {
   readonly #server: Server;
-  readonly #held: (() => void)[] = [];
-  #isHolding = false;
+  readonly #delayed: (() => void)[] = [];
+  #isDelaying = false;
 
   constructor(targetPort: number) {
     this.#server = createServer((client) => this.#pair(client, connect(targetPort, '127.0.0.1')));
@@ -63,33 +64,33 @@
   }
 
   hold(): void {
-    this.#isHolding = true;
+    this.#isDelaying = true;
   }
 
   release(): void {
-    for (const send of this.#held.splice(0)) send();
+    for (const send of this.#delayed.splice(0)) send();
   }
 
   close(): void {
     this.#server.close();
   }
 
-  /** What one side sends still reaches the server after that side has closed, as on a slow network. */
+  /** Bytes of the client still reach the server after the client has closed, as on a slow network. */
   #pair(client: Socket, server: Socket): void {
     client.on('error', () => undefined);
     server.on('error', () => undefined);
     client.on('data', (chunk: Buffer) => {
-      if (this.#isHolding) this.#held.push(() => server.write(chunk));
+      if (this.#isDelaying) this.#delayed.push(() => server.write(chunk));
       else server.write(chunk);
     });
     server.on('data', (chunk: Buffer) => {
-      if (!this.#isHolding) client.write(chunk);
+      if (!this.#isDelaying) client.write(chunk);
     });
     server.on('close', () => client.destroy());
   }
 }
 
-/** Runs a request to its end, whichever it is. */
+/** Forwards a request and resolves with its outcome. */
 function forward(link: PeerLink, request: StatementRequest): Promise<'ended' | 'lost'> {
   return new Promise((resolve) => {
     const sink: ForwardSink = {
@@ -105,12 +106,12 @@
 
 test('a request that arrives after its sender gave up on the link is not to be begun', async () => {
   const arrivals = new Map<string, boolean>();
-  let arrived = (): void => undefined;
+  let onArrival = (): void => undefined;
   const server = new PeerServer({
     execute: ({ streamId }, sink, isAwaited) => {
       arrivals.set(streamId, isAwaited());
       sink.end('I');
-      arrived();
+      onArrival();
     },
     closeStream: () => undefined,
     cancel: () => undefined,
@@ -122,12 +123,12 @@
   const { port } = probe.address() as AddressInfo;
   await new Promise((resolve) => probe.close(resolve));
   await server.listen('127.0.0.1', port);
-  const relay = new HoldingRelay(port);
-  const relayPort = await relay.listen();
+  const proxy = new DelayingProxy(port);
+  const proxyPort = await proxy.listen();
   const link = new PeerLink(
     {
       host: '127.0.0.1',
-      port: relayPort,
+      port: proxyPort,
       localAddress: null,
       silenceTimeoutMs: SILENCE_TIMEOUT_MS,
       hello: () => RECORD,
@@ -135,11 +136,11 @@
     { message: () => undefined, closed: () => undefined },
   );
   try {
-    assert.equal(await forward(link, write('in time')), 'ended');
-    relay.hold();
-    assert.equal(await forward(link, write('late')), 'lost');
-    const arrival = new Promise<void>((resolve) => (arrived = resolve));
-    relay.release();
+    assert.equal(await forward(link, writeRequest('in time')), 'ended');
+    proxy.hold();
+    assert.equal(await forward(link, writeRequest('late')), 'lost');
+    const arrival = new Promise<void>((resolve) => (onArrival = resolve));
+    proxy.release();
     await arrival;
     assert.deepEqual(
       [...arrivals],
@@ -150,19 +151,19 @@
     );
   } finally {
     link.close();
-    relay.close();
+    proxy.close();
     server.close();
   }
 });
 
-test('patience is never translated to more than it is, however late the clock was heard', () => {
-  const patience = new LinkPatience(1000);
-  assert.equal(patience.isClockKnown, false);
-  // The other clock is 5000 ahead; what it told took 300 ms.
-  patience.hearClock(5100 - 300, 100);
-  assert.equal(patience.waitsUntilMs(100), 5100 - 300 + 1000);
-  patience.hearClock(5200 - 10, 200);
-  assert.equal(patience.waitsUntilMs(200), 5200 - 10 + 1000);
-  patience.hearClock(5300 - 900, 300);
-  assert.equal(patience.waitsUntilMs(300), 5300 - 10 + 1000);
+test('the translated deadline is never later than the real one, however late the clock arrived', () => {
+  const translator = new DeadlineTranslator(1000);
+  assert.equal(translator.isClockKnown, false);
+  // The remote clock is 5000 ms ahead; its reading took 300 ms to arrive.
+  translator.recordRemoteClock(5100 - 300, 100);
+  assert.equal(translator.remoteDeadlineMs(100), 5100 - 300 + 1000);
+  translator.recordRemoteClock(5200 - 10, 200);
+  assert.equal(translator.remoteDeadlineMs(200), 5200 - 10 + 1000);
+  translator.recordRemoteClock(5300 - 900, 300);
+  assert.equal(translator.remoteDeadlineMs(300), 5300 - 10 + 1000);
 });
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -1,5 +1,5 @@
 /**
- * A connection that this daemon has opened to another: forwards requests, probes, asks for configurations.
+ * An outgoing connection to another daemon: forwards requests, sends probes and requests configurations.
  *
  * @packageDocumentation
  */
@@ -9,72 +9,77 @@
 import { RequestError } from '../verdict/verdict.js';
 import { asBuffer } from '../wire/as-buffer.js';
 import { MessageChannel } from './message-channel.js';
-import { LinkPatience } from './link-patience.js';
+import { DeadlineTranslator } from './deadline-translator.js';
 import type { CancelMessage, CloseStreamMessage, PeerMessage } from './peer-messages.js';
 
-/** Where to connect, and how. */
+/** Connection settings of a link. */
 export interface PeerLinkOptions {
   readonly host: string;
   readonly port: number;
   readonly localAddress: string | null;
-  /** Time without a sign of life, while one is owed, after which the link is given up, in milliseconds. */
+  /** Time without any message while a response is pending after which the link is closed, in milliseconds. */
   readonly silenceTimeoutMs: number;
   readonly hello: () => PeerRecord;
 }
 
-/** A sink that also hears when the link is lost before the answer was complete; `notOwner` if nothing was sent. */
+/**
+ * A sink that is also notified when the link is lost before the response was complete. If the request had not
+ * been sent by then, `notOwner` is called instead.
+ */
 export interface ForwardSink extends AnswerSink {
   lost(): void;
 }
 
-/** Hears what does not belong to a request. */
+/** Receives the messages that do not belong to a forwarded request, and the end of the link. */
 export interface PeerLinkListener {
   message(message: PeerMessage): void;
   closed(): void;
 }
 
-/** Largest message between daemons, in bytes. */
+/** Maximum size of a message between daemons, in bytes. */
 export const MAX_PEER_MESSAGE_BYTES = 64 * 1024 * 1024;
 
-const CHECKS_PER_TIMEOUT = 4;
+const SILENCE_CHECKS_PER_TIMEOUT = 4;
 
-/** An open or opening link. */
+/** A link that is open or connecting. */
 export class PeerLink {
   /** Monotonic time of the last use, in milliseconds. */
   lastUsedMs = performance.now();
   readonly #channel: MessageChannel<PeerMessage>;
   readonly #requests = new Map<number, ForwardSink>();
   readonly #timer: NodeJS.Timeout;
-  readonly #patience: LinkPatience;
-  /** What waits for the other side's clock. */
-  #unsent: (() => void)[] = [];
+  readonly #deadlineTranslator: DeadlineTranslator;
+  /** Sends that are deferred until the remote clock is known. */
+  #awaitingClock: (() => void)[] = [];
   #nextRequestId = 1;
-  /** Monotonic time since which an answer is owed, or `null`. */
-  #owedSinceMs: number | null = null;
+  /**
+   * Monotonic time since which a response is pending and nothing was received; `null` when none is pending.
+   */
+  #unansweredSinceMs: number | null = null;
 
   constructor(
     private readonly options: PeerLinkOptions,
     private readonly listener: PeerLinkListener,
   ) {
     const { host, port, localAddress, silenceTimeoutMs } = options;
-    this.#patience = new LinkPatience(silenceTimeoutMs);
+    this.#deadlineTranslator = new DeadlineTranslator(silenceTimeoutMs);
     const socket = connect({ host, port, ...(localAddress === null ? {} : { localAddress }) });
     this.#channel = new MessageChannel<PeerMessage>(socket, MAX_PEER_MESSAGE_BYTES, {
       message: (message) => this.#receive(message),
       closed: () => this.#handleClosed(),
     });
-    this.#timer = setInterval(() => this.#checkSilence(), silenceTimeoutMs / CHECKS_PER_TIMEOUT);
+    this.#timer = setInterval(() => this.#checkSilence(), silenceTimeoutMs / SILENCE_CHECKS_PER_TIMEOUT);
     this.#timer.unref();
     this.#channel.send({ kind: 'hello', record: options.hello() });
   }
 
-  /** True once the link has ended. */
+  /** True once the connection has ended. */
   get isClosed(): boolean {
     return this.#channel.isClosed;
   }
 
-  /** Requests without an answer yet. */
-  get openRequests(): number {
+  /** Number of forwarded requests whose response is not complete. */
+  get pendingRequests(): number {
     return this.#requests.size;
   }
 
@@ -83,9 +88,9 @@
     return this.#channel.bytesSent + this.#channel.bytesReceived;
   }
 
-  /** Sends a message that expects an answer of its own kind. */
-  ask(message: PeerMessage): void {
-    this.#owedSinceMs ??= performance.now();
+  /** Sends a message that the remote daemon replies to with a message of its own kind. */
+  request(message: PeerMessage): void {
+    this.#unansweredSinceMs ??= performance.now();
     this.tell(message);
   }
 
@@ -95,7 +100,7 @@
     this.#channel.send(message);
   }
 
-  /** Forwards a request; the sink hears exactly one end. */
+  /** Forwards a request; exactly one final callback of the sink is called. */
   forward(request: StatementRequest, sink: ForwardSink): void {
     if (this.isClosed) {
       sink.lost();
@@ -103,90 +108,93 @@
     }
     const requestId = this.#nextRequestId++;
     this.#requests.set(requestId, sink);
-    this.#owedSinceMs ??= performance.now();
-    this.#whenClockIsKnown(() =>
-      this.tell({ kind: 'execute', requestId, request, waitsUntilMs: this.#waitsUntilMs() }),
+    this.#unansweredSinceMs ??= performance.now();
+    this.#sendOnceClockIsKnown(() =>
+      this.tell({ kind: 'execute', requestId, request, waitsUntilMs: this.#remoteDeadlineMs() }),
     );
   }
 
-  /** Tells something of a request that was forwarded, never before the request itself. */
+  /** Sends a message about a forwarded request, never before the request itself. */
   tellOfRequest(message: CloseStreamMessage | CancelMessage): void {
-    this.#whenClockIsKnown(() => this.tell(message));
+    this.#sendOnceClockIsKnown(() => this.tell(message));
   }
 
-  /** Ends the link; open requests are lost. */
+  /** Closes the link; pending requests are lost. */
   close(): void {
     this.#channel.destroy();
   }
 
-  /** Requests carry a time of the other side's clock, which it tells first of all. */
-  #whenClockIsKnown(send: () => void): void {
-    if (this.#patience.isClockKnown) send();
-    else this.#unsent.push(send);
+  /** Requests carry a deadline on the remote clock, which the remote side sends as its first message. */
+  #sendOnceClockIsKnown(send: () => void): void {
+    if (this.#deadlineTranslator.isClockKnown) send();
+    else this.#awaitingClock.push(send);
   }
 
-  #waitsUntilMs(): number {
+  #remoteDeadlineMs(): number {
     const nowMs = performance.now();
-    return this.#patience.waitsUntilMs(this.#owedSinceMs ?? nowMs);
+    return this.#deadlineTranslator.remoteDeadlineMs(this.#unansweredSinceMs ?? nowMs);
   }
 
-  #hearClock(theirNowMs: number): void {
-    this.#patience.hearClock(theirNowMs, performance.now());
-    const unsent = this.#unsent;
-    this.#unsent = [];
-    for (const send of unsent) send();
+  #recordRemoteClock(remoteNowMs: number): void {
+    this.#deadlineTranslator.recordRemoteClock(remoteNowMs, performance.now());
+    const awaitingClock = this.#awaitingClock;
+    this.#awaitingClock = [];
+    for (const send of awaitingClock) send();
   }
 
   #receive(message: PeerMessage): void {
-    this.#owedSinceMs = this.#requests.size > 0 ? performance.now() : null;
+    this.#unansweredSinceMs = this.#requests.size > 0 ? performance.now() : null;
     switch (message.kind) {
       case 'answerData':
         this.#requests.get(message.requestId)?.data(asBuffer(message.frames));
         break;
       case 'answerEnd':
-        this.#take(message.requestId)?.end(message.status);
+        this.#removeRequest(message.requestId)?.end(message.status);
         break;
       case 'answerError': {
         const { sqlState, verdict, retryAfterMs, status } = message;
-        this.#take(message.requestId)?.fail(
+        this.#removeRequest(message.requestId)?.fail(
           new RequestError(sqlState, verdict, message.message, retryAfterMs),
           status,
         );
         break;
       }
       case 'notOwner':
-        this.#take(message.requestId)?.notOwner();
+        this.#removeRequest(message.requestId)?.notOwner();
         break;
       case 'clock':
-        this.#hearClock(message.nowMs);
+        this.#recordRemoteClock(message.nowMs);
         break;
       default:
         this.listener.message(message);
     }
   }
 
-  #take(requestId: number): ForwardSink | undefined {
+  #removeRequest(requestId: number): ForwardSink | undefined {
     const sink = this.#requests.get(requestId);
     this.#requests.delete(requestId);
-    if (this.#requests.size === 0) this.#owedSinceMs = null;
+    if (this.#requests.size === 0) this.#unansweredSinceMs = null;
     return sink;
   }
 
-  /** Probes a link on which an answer is owed; gives it up when nothing at all comes. */
+  /**
+   * Sends a keep-alive while requests are pending; closes the link when nothing is received within the
+   * timeout.
+   */
   #checkSilence(): void {
-    if (this.#owedSinceMs === null) return;
-    const silentMs = performance.now() - this.#owedSinceMs;
+    if (this.#unansweredSinceMs === null) return;
+    const silentMs = performance.now() - this.#unansweredSinceMs;
     if (silentMs >= this.options.silenceTimeoutMs) this.close();
-    else if (this.#requests.size > 0 && this.#patience.isClockKnown)
-      this.#channel.send({ kind: 'keepAlive', waitsUntilMs: this.#waitsUntilMs() });
+    else if (this.#requests.size > 0 && this.#deadlineTranslator.isClockKnown)
+      this.#channel.send({ kind: 'keepAlive', waitsUntilMs: this.#remoteDeadlineMs() });
   }
 
   #handleClosed(): void {
     clearInterval(this.#timer);
-    const open = [...this.#requests.values()];
+    const pending = [...this.#requests.values()];
     this.#requests.clear();
-    for (const sink of open) {
-      if (this.#patience.isClockKnown) sink.lost();
+    for (const sink of pending) {
+      if (this.#deadlineTranslator.isClockKnown) sink.lost();
       else sink.notOwner();
     }
     this.listener.closed();
--- a/src/peer/peer-links.ts
+++ b/src/peer/peer-links.ts
@@ -1,5 +1,5 @@
 /**
- * The links that this daemon has open, by daemon.
+ * Outgoing links of this daemon, by remote daemon.
  *
  * @packageDocumentation
  */
@@ -11,20 +11,20 @@
 export interface PeerLinksOptions {
   readonly localAddress: string | null;
   readonly silenceTimeoutMs: number;
-  /** Time after which an unused link is closed. */
+  /** Time without use after which a link is closed. */
   readonly idleTimeoutMs: number;
   readonly hello: () => PeerRecord;
   readonly onMessage: (daemonId: string, message: PeerMessage) => void;
   readonly onLost: (daemonId: string) => void;
 }
 
-/** Opens links when they are needed and closes them when they are not. */
+/** Opens links on demand and closes idle ones. */
 export class PeerLinks {
   readonly #links = new Map<string, PeerLink>();
   readonly #timer: NodeJS.Timeout;
-  /** Links that are being closed for want of use. */
+  /** Links that are being closed because they were idle. */
   readonly #idleLinks = new Set<PeerLink>();
-  #closedTraffic = 0;
+  #closedTrafficBytes = 0;
   #isClosing = false;
 
   constructor(private readonly options: PeerLinksOptions) {
@@ -34,7 +34,7 @@
 
   /** Bytes sent and received on all links so far. */
   get traffic(): number {
-    let traffic = this.#closedTraffic;
+    let traffic = this.#closedTrafficBytes;
     for (const link of this.#links.values()) traffic += link.traffic;
     return traffic;
   }
@@ -44,7 +44,7 @@
     return this.#links.size;
   }
 
-  /** The link to a daemon, opened if need be. */
+  /** Returns the link to a daemon; opens one if there is none or it has ended. */
   to(record: Pick<PeerRecord, 'daemonId' | 'host' | 'port'>): PeerLink {
     const { daemonId, host, port } = record;
     const known = this.#links.get(daemonId);
@@ -69,16 +69,16 @@
   }
 
   #handleClosed(daemonId: string, link: PeerLink): void {
-    this.#closedTraffic += link.traffic;
+    this.#closedTrafficBytes += link.traffic;
     if (this.#links.get(daemonId) === link) this.#links.delete(daemonId);
     const wasIdle = this.#idleLinks.delete(link);
     if (!this.#isClosing && !wasIdle) this.options.onLost(daemonId);
   }
 
   #closeIdle(): void {
-    const oldest = performance.now() - this.options.idleTimeoutMs;
+    const idleSinceMs = performance.now() - this.options.idleTimeoutMs;
     for (const link of [...this.#links.values()]) {
-      if (link.openRequests > 0 || link.lastUsedMs >= oldest) continue;
+      if (link.pendingRequests > 0 || link.lastUsedMs >= idleSinceMs) continue;
       this.#idleLinks.add(link);
       link.close();
     }
--- a/src/peer/peer-messages.ts
+++ b/src/peer/peer-messages.ts
@@ -9,7 +9,7 @@
 import type { SqlStateCode, Verdict } from '../verdict/verdict.js';
 import type { TransactionStatus } from '../wire/message-types.js';
 
-/** First message on a connection, from the side that opened it. */
+/** First message on a connection from the side that opened it. */
 export interface HelloMessage {
   readonly kind: 'hello';
   readonly record: PeerRecord;
@@ -20,25 +20,25 @@
   readonly kind: 'execute';
   readonly requestId: number;
   readonly request: StatementRequest;
-  /** Time by the receiver's clock until which the sender surely waits, in milliseconds: not to be begun later. */
+  /** Deadline on the receiver's clock, in milliseconds: the request must not be started later. */
   readonly waitsUntilMs: number;
 }
 
-/** A part of an answer: whole protocol messages. */
+/** Part of a response: complete PostgreSQL protocol messages. */
 export interface AnswerDataMessage {
   readonly kind: 'answerData';
   readonly requestId: number;
   readonly frames: Uint8Array;
 }
 
-/** The end of an answer. */
+/** End of a response. */
 export interface AnswerEndMessage {
   readonly kind: 'answerEnd';
   readonly requestId: number;
   readonly status: TransactionStatus;
 }
 
-/** The end of a request that was refused or lost. */
+/** Error response to a request that was refused or lost. */
 export interface AnswerErrorMessage {
   readonly kind: 'answerError';
   readonly requestId: number;
@@ -55,14 +55,14 @@
   readonly requestId: number;
 }
 
-/** The client's connection has ended: roll back what is open. */
+/** The client's connection has ended: its open transaction is rolled back. */
 export interface CloseStreamMessage {
   readonly kind: 'closeStream';
   readonly database: string;
   readonly streamId: string;
 }
 
-/** The client asked to cancel the request that runs on its connection. */
+/** The client requested cancellation of the statement running on its connection. */
 export interface CancelMessage {
   readonly kind: 'cancel';
   readonly database: string;
@@ -70,72 +70,76 @@
 }
 
 /**
- * What every probe and answer says of its sender. The version is not part of the record, since every change of
- * configuration would make a record of every daemon news.
+ * State of the sender, part of every probe and its acknowledgement. The configuration version is not part of
+ * the record because every configuration change would then disseminate a new record of every daemon.
  */
 export interface SenderState {
   readonly from: string;
-  /** Version of the configuration in force at the sender; 0 for none. */
+  /** Active configuration version of the sender; 0 for none. */
   readonly configurationVersion: number;
 }
 
-/** Probe of a daemon, with news. */
+/** Failure detection probe, with membership updates. */
 export interface PingMessage extends SenderState {
   readonly kind: 'ping';
   readonly pingId: number;
   readonly news: readonly PeerRecord[];
 }
 
-/** Answer to a probe, with news. */
+/** Acknowledgement of a probe, with membership updates. */
 export interface AckMessage extends SenderState {
   readonly kind: 'ack';
   readonly pingId: number;
   readonly news: readonly PeerRecord[];
 }
 
-/** Asks for a sign of life on a link where an answer is owed; answered with the receiver's clock. */
+/** Keep-alive on a link with pending requests; the receiver replies with its clock. */
 export interface KeepAliveMessage {
   readonly kind: 'keepAlive';
-  /** As in {@link ExecuteMessage}, for all requests that are open. */
+  /** As in {@link ExecuteMessage}, for all pending requests. */
   readonly waitsUntilMs: number;
 }
 
-/** The monotonic clock of the side that accepted the link, first of all and in answer to each sign of life. */
+/**
+ * Monotonic clock of the side that accepted the link: its first message, and the reply to each keep-alive.
+ */
 export interface ClockMessage {
   readonly kind: 'clock';
   readonly nowMs: number;
 }
 
-/** Asks a third daemon to probe a suspect. */
+/** Asks another daemon to probe the target, which did not acknowledge the sender's probe. */
 export interface PingRequestMessage {
   readonly kind: 'pingRequest';
   readonly pingId: number;
   readonly target: string;
 }
 
-/** Asks for all records if the receiver's table differs from the sender's. */
+/** Digest of the sender's table; the receiver replies with all its records if its own digest differs. */
 export interface DigestMessage {
   readonly kind: 'digest';
   readonly digest: number;
 }
 
-/** All records of the sender, at first contact and where tables differ. */
+/** All records of the sender, sent at first contact and when digests differ. */
 export interface SyncMessage {
   readonly kind: 'sync';
   readonly records: readonly PeerRecord[];
   readonly wantsReply: boolean;
 }
 
-/** Asks for the version of the configuration in force at the receiver, and for the document if it is newer. */
+/** Requests the receiver's active configuration version, and the document if it is newer. */
 export interface ConfigurationRequestMessage {
   readonly kind: 'configurationRequest';
-  /** Version that the asker has; `null` when it wants no document. */
+  /** Version that the sender has; `null` when it does not need the document. */
   readonly documentIfNewerThan: number | null;
-  /** Digest of the databases that the asker has, which need not be sent again; empty for none. */
+  /** Digest of the databases that the sender already has and that need not be sent again; empty for none. */
   readonly databasesDigest: string;
 }
 
-/** The version in force at the sender, 0 for none, and the document if it was asked for. */
+/**
+ * Active configuration version of the sender, 0 for none, and the document if it was requested and is newer.
+ */
 export interface ConfigurationReplyMessage {
   readonly kind: 'configurationReply';
   readonly version: number;
--- a/src/peer/peer-server.ts
+++ b/src/peer/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts links from other daemons: runs their requests and answers their probes.
+ * Accepts links from other daemons and dispatches their requests, probes and other messages.
  *
  * @packageDocumentation
  */
@@ -10,38 +10,38 @@
 import { MAX_PEER_MESSAGE_BYTES } from './peer-link.js';
 import type { PeerMessage } from './peer-messages.js';
 
-/** What the server asks of its daemon. */
-export interface PeerServerPorts {
-  /** @param isAwaited - false once the sender may have given up: the request must not be begun then */
+/** Handlers that the daemon provides for incoming messages. */
+export interface PeerServerHandlers {
+  /** @param isAwaited - false once the sender's deadline has passed: the request must not be started then */
   execute(request: StatementRequest, sink: AnswerSink, isAwaited: () => boolean): void;
   closeStream(database: string, streamId: string): void;
   cancel(database: string, streamId: string): void;
   hello(record: PeerRecord): void;
-  /** Handles any other message; the answer goes back on the same connection. */
+  /** Handles any other message; replies are sent on the same connection. */
   handle(message: PeerMessage, reply: (message: PeerMessage) => void): void;
 }
 
-/** The daemon at the other end of a connection. */
+/** State of the daemon at the remote end of a connection. */
 interface Sender {
-  /** Database of each client connection for which it has sent requests. */
+  /** Database by stream id, for each client connection with a running request or an open transaction. */
   readonly streams: Map<string, string>;
-  /** Own time until which it surely waits for answers, in milliseconds. */
+  /** Local time until which it waits for responses, in milliseconds. */
   waitsUntilMs: number;
 }
 
-/** Listens for other daemons. */
+/** Server side of the links between daemons. */
 export class PeerServer {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
-  #traffic = 0;
+  #closedTrafficBytes = 0;
 
-  constructor(private readonly ports: PeerServerPorts) {
+  constructor(private readonly handlers: PeerServerHandlers) {
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Bytes sent and received so far on connections that have ended, and on open ones. */
+  /** Bytes sent and received so far, on open and closed connections. */
   get traffic(): number {
-    let traffic = this.#traffic;
+    let traffic = this.#closedTrafficBytes;
     for (const socket of this.#sockets) traffic += socket.bytesRead + socket.bytesWritten;
     return traffic;
   }
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Stops at once. */
+  /** Stops listening and closes all connections without flushing. */
   close(): void {
     this.#server.close();
     for (const socket of this.#sockets) socket.destroy();
@@ -67,8 +67,8 @@
       message: (message) => this.#handle(channel, sender, message),
       closed: () => {
         this.#sockets.delete(socket);
-        this.#traffic += socket.bytesRead + socket.bytesWritten;
-        for (const [streamId, database] of sender.streams) this.ports.closeStream(database, streamId);
+        this.#closedTrafficBytes += socket.bytesRead + socket.bytesWritten;
+        for (const [streamId, database] of sender.streams) this.handlers.closeStream(database, streamId);
       },
     });
     channel.send({ kind: 'clock', nowMs: performance.now() });
@@ -78,12 +78,12 @@
     const { streams } = sender;
     switch (message.kind) {
       case 'hello':
-        this.ports.hello(message.record);
+        this.handlers.hello(message.record);
         break;
       case 'execute':
         sender.waitsUntilMs = message.waitsUntilMs;
         streams.set(message.request.streamId, message.request.database);
-        this.ports.execute(
+        this.handlers.execute(
           message.request,
           new ChannelSink(channel, message.requestId, () => streams.delete(message.request.streamId)),
           () => performance.now() < sender.waitsUntilMs,
@@ -95,23 +95,23 @@
         break;
       case 'closeStream':
         streams.delete(message.streamId);
-        this.ports.closeStream(message.database, message.streamId);
+        this.handlers.closeStream(message.database, message.streamId);
         break;
       case 'cancel':
-        this.ports.cancel(message.database, message.streamId);
+        this.handlers.cancel(message.database, message.streamId);
         break;
       default:
-        this.ports.handle(message, (reply) => channel.send(reply));
+        this.handlers.handle(message, (reply) => channel.send(reply));
     }
   }
 }
 
-/** Sends an answer back over the link. */
+/** Sends a response back over the link. */
 class ChannelSink implements AnswerSink {
   constructor(
     private readonly channel: MessageChannel<PeerMessage>,
     private readonly requestId: number,
-    /** Called when the client's connection is left without a transaction. */
+    /** Called when the client's connection has no open transaction any more. */
     private readonly onIdle: () => void,
   ) {}
 
