--- a/src/member/member-connection.ts
+++ b/src/member/member-connection.ts
@@ -1,5 +1,5 @@
 /**
- * One connection to a member of a database group: PostgreSQL protocol, version 3, client side.
+ * Client side of a PostgreSQL connection (protocol version 3) to a member of a database group.
  *
  * @packageDocumentation
  */
@@ -11,21 +11,21 @@
 import { isFatalError, readColumnNames, readErrorSqlState, readRow } from './reply-reader.js';
 import type { ReplyPlan } from './reply-plan.js';
 
-/** Where and as whom to connect. */
+/** Connection settings: address, database and user. */
 export interface MemberConnectionOptions {
   readonly host: string;
   readonly port: number;
   readonly database: string;
   readonly user: string;
   readonly applicationName: string;
-  /** Local IP address to connect from; `null` leaves it to the system. */
+  /** Local IP address to connect from; `null` lets the operating system choose. */
   readonly localAddress: string | null;
   readonly connectTimeoutMs: number;
 }
 
-/** Follows one exchange. */
+/** Receives the response of one exchange. */
 export interface ExchangeListener {
-  /** Whole messages for the client. */
+  /** Complete protocol messages to forward to the client. */
   data(frames: Buffer): void;
   /** The exchange is complete; `sqlState` is that of the first error, or `null`. */
   complete(status: TransactionStatus, sqlState: string | null): void;
@@ -33,12 +33,12 @@
   lost(): void;
 }
 
-/** Messages to send and how to follow the answer. */
+/** A batch of messages to send, and how to process the response. */
 export interface Exchange {
   readonly bytes: Buffer;
-  /** Expected replies; `null` shows everything up to ReadyForQuery. */
+  /** Expected replies; `null` forwards everything up to ReadyForQuery. */
   readonly plan: ReplyPlan | null;
-  /** True when the batch ends with Flush, so that no ReadyForQuery comes. */
+  /** True when the batch ends with Flush, so that no ReadyForQuery follows. */
   readonly endsWithFlush: boolean;
   readonly listener: ExchangeListener;
 }
@@ -48,7 +48,7 @@
 
 /** Thrown when a connection cannot be opened, or is lost during a query. */
 export class MemberConnectionError extends Error {
-  /** @param sqlState - what the member gave as the reason, or `null` */
+  /** @param sqlState - SQLSTATE of the member's error response, or `null` */
   constructor(
     message: string,
     readonly sqlState: string | null = null,
@@ -63,11 +63,11 @@
 
 const MAX_FRAME_BYTES = 256 * 1024 * 1024;
 
-/** An open connection; exchanges are answered in the order in which they were submitted. */
+/** An open connection; responses arrive in the order in which the exchanges were submitted. */
 export class MemberConnection {
   /** Names of the statements prepared on this connection. */
   readonly preparedNames = new Set<string>();
-  /** SET statements in force, joined; `null` when unknown. */
+  /** SET statements currently applied, joined; `null` when unknown. */
   settingsSignature: string | null = '';
   /** Called once when the connection has ended. */
   onClosed: () => void = () => undefined;
@@ -105,7 +105,7 @@
     return this.socket.bytesRead + this.socket.bytesWritten;
   }
 
-  /** Sends an exchange; on a closed connection it is lost at once. */
+  /** Sends an exchange; on a closed connection it is reported as lost immediately. */
   submit(exchange: Exchange): void {
     if (this.#closed) {
       exchange.listener.lost();
@@ -132,7 +132,7 @@
     });
   }
 
-  /** Asks the member to cancel what runs on this connection. */
+  /** Sends a cancel request for the statement running on this connection, over a separate connection. */
   cancel(): void {
     const { host, port, localAddress } = this.options;
     const socket = connect({ host, port, ...(localAddress === null ? {} : { localAddress }) });
@@ -141,7 +141,7 @@
     socket.setTimeout(this.options.connectTimeoutMs, () => socket.destroy());
   }
 
-  /** Says goodbye and ends the connection. */
+  /** Sends Terminate and closes the connection. */
   close(): void {
     if (this.#closed) return;
     this.socket.end(serialize.end());
@@ -149,7 +149,7 @@
     this.#handleClosed();
   }
 
-  /** Ends the connection at once. */
+  /** Closes the connection without Terminate. */
   destroy(): void {
     this.socket.destroy();
     this.#handleClosed();
@@ -191,30 +191,32 @@
   }
 
   #receive(chunk: Buffer): void {
-    let shown: Buffer[] = [];
+    let forwarded: Buffer[] = [];
     for (const frame of this.#splitter.push(chunk)) {
       const exchange = this.#exchanges[0];
       if (exchange === undefined) {
-        this.#receiveUnasked(frame);
+        this.#handleUnsolicited(frame);
         continue;
       }
-      if (this.#handleFrame(exchange, frame)) shown.push(frame);
+      if (this.#handleFrame(exchange, frame)) forwarded.push(frame);
       if (!this.#isComplete(exchange, frame)) continue;
-      if (shown.length > 0) exchange.listener.data(Buffer.concat(shown));
-      shown = [];
+      if (forwarded.length > 0) exchange.listener.data(Buffer.concat(forwarded));
+      forwarded = [];
       this.#exchanges.shift();
       const status = frame[0] === BackendType.readyForQuery ? readTransactionStatus(frame) : 'T';
       exchange.listener.complete(status, exchange.sqlState);
     }
-    if (shown.length > 0) this.#exchanges[0]?.listener.data(Buffer.concat(shown));
+    if (forwarded.length > 0) this.#exchanges[0]?.listener.data(Buffer.concat(forwarded));
   }
 
-  /** A message outside any exchange is a notice, or the member's word that it ends the connection. */
-  #receiveUnasked(frame: Buffer): void {
+  /**
+   * Outside an exchange, an ErrorResponse means that the member closes the connection; notices are ignored.
+   */
+  #handleUnsolicited(frame: Buffer): void {
     if (frame[0] === BackendType.errorResponse) this.destroy();
   }
 
-  /** Takes a message into account; true when the client is to see it. */
+  /** Updates the connection state from a message; true when it is to be forwarded to the client. */
   #handleFrame(exchange: ActiveExchange, frame: Buffer): boolean {
     const type = frame[0] ?? 0;
     switch (type) {
--- a/src/member/member-monitor.ts
+++ b/src/member/member-monitor.ts
@@ -1,5 +1,5 @@
 /**
- * Watches one member and holds the owner's lock on it, over one control connection.
+ * Monitors one member and holds the owner's advisory lock on it, over one control connection.
  *
  * @packageDocumentation
  */
@@ -17,32 +17,35 @@
 export interface MemberMonitorOptions {
   readonly database: string;
   readonly connection: Omit<MemberConnectionOptions, 'host' | 'port'>;
-  /** Time after which the member ends a silent session and its lock. */
+  /** Idle time after which the member ends the session and thereby releases its lock. */
   readonly leaseMs: number;
-  /** Time without an answer after which the connection is given up. */
+  /** Time after which a query without a response closes the connection. */
   readonly statusTimeoutMs: number;
 }
 
-/** Hears what a monitor finds out. */
+/** Receives the results of a monitor. */
 export interface MemberMonitorListener {
-  /** A status came, for a question sent at `askedAtMs` (monotonic). */
-  status(memberId: string, status: MemberStatus, askedAtMs: number): void;
-  /** The lock was taken and earlier owners' connections were ended. */
+  /** A status was received for a query sent at `sentAtMs` (monotonic, in milliseconds). */
+  status(memberId: string, status: MemberStatus, sentAtMs: number): void;
+  /**
+   * The lock was acquired and earlier owners' connections were terminated; called again after each status
+   * query during which the lock was held.
+   */
   locked(memberId: string, sentAtMs: number): void;
-  /** The control connection, and with it the lock, is gone. */
+  /** The control connection was lost, and the lock with it. */
   lost(memberId: string): void;
-  /** Time until the next status question, in milliseconds. */
+  /** Time until the next status query, in milliseconds. */
   pollIntervalMs(): number;
 }
 
 const RECONNECT_DELAY_MS = 100;
 
-/** Keeps a control connection to one member and asks for its status again and again. */
+/** Maintains a control connection to one member and polls its status. */
 export class MemberMonitor {
   #connection: MemberConnection | null = null;
   #isLocked = false;
   #stopped = false;
-  #closedTraffic = 0;
+  #closedTrafficBytes = 0;
   #isPollRequested = false;
   #wake: (() => void) | null = null;
 
@@ -54,22 +57,22 @@
 
   /** Bytes sent and received so far. */
   get traffic(): number {
-    return this.#closedTraffic + (this.#connection?.traffic ?? 0);
+    return this.#closedTrafficBytes + (this.#connection?.traffic ?? 0);
   }
 
-  /** Starts to watch. */
+  /** Starts monitoring. */
   start(): void {
     void this.#run();
   }
 
-  /** Ends the control connection, which releases the lock. */
+  /** Stops monitoring and closes the control connection, which releases the lock. */
   stop(): void {
     this.#stopped = true;
     this.#connection?.close();
     this.#wake?.();
   }
 
-  /** Asks for the status as soon as possible. */
+  /** Queries the status as soon as possible instead of at the end of the poll interval. */
   pollNow(): void {
     this.#isPollRequested = true;
     this.#wake?.();
@@ -78,52 +81,52 @@
   async #run(): Promise<void> {
     while (!this.#stopped) {
       try {
-        await this.#watch();
+        await this.#monitorConnection();
       } catch {
-        // Any failure ends the connection; the loop opens another.
+        // Any failure closes the connection; the loop opens a new one.
       }
-      this.#closedTraffic += this.#connection?.traffic ?? 0;
+      this.#closedTrafficBytes += this.#connection?.traffic ?? 0;
       this.#connection?.destroy();
       this.#connection = null;
       this.#isLocked = false;
       this.listener.lost(this.address.memberId);
-      if (!this.#stopped) await this.#pause(RECONNECT_DELAY_MS);
+      if (!this.#stopped) await this.#sleep(RECONNECT_DELAY_MS);
     }
   }
 
-  async #watch(): Promise<void> {
+  async #monitorConnection(): Promise<void> {
     const { host, port } = this.address;
     const connection = await MemberConnection.open({ ...this.options.connection, host, port });
     this.#connection = connection;
     connection.onClosed = () => this.#wake?.();
     if (this.#stopped) return;
-    await this.#ask(connection, idleTimeoutStatement(this.options.leaseMs));
+    await this.#query(connection, idleTimeoutStatement(this.options.leaseMs));
     while (!this.#stopped && !connection.isClosed) {
       if (!this.#isLocked) await this.#tryLock(connection);
-      await this.#askStatus(connection);
-      if (!this.#isPollRequested) await this.#pause(this.listener.pollIntervalMs());
+      await this.#queryStatus(connection);
+      if (!this.#isPollRequested) await this.#sleep(this.listener.pollIntervalMs());
     }
   }
 
   async #tryLock(connection: MemberConnection): Promise<void> {
     const sentAtMs = performance.now();
-    const rows = await this.#ask(connection, lockStatement(this.options.database));
+    const rows = await this.#query(connection, lockStatement(this.options.database));
     if (rows[0]?.['locked'] !== 't') return;
-    await this.#ask(connection, FENCE_STATEMENT);
+    await this.#query(connection, FENCE_STATEMENT);
     this.#isLocked = true;
     this.listener.locked(this.address.memberId, sentAtMs);
   }
 
-  async #askStatus(connection: MemberConnection): Promise<void> {
+  async #queryStatus(connection: MemberConnection): Promise<void> {
     this.#isPollRequested = false;
-    const askedAtMs = performance.now();
-    const status = readStatus(await this.#ask(connection, STATUS_STATEMENT));
+    const sentAtMs = performance.now();
+    const status = readStatus(await this.#query(connection, STATUS_STATEMENT));
     if (status === null) throw new Error('unreadable status');
-    this.listener.status(this.address.memberId, status, askedAtMs);
-    if (this.#isLocked) this.listener.locked(this.address.memberId, askedAtMs);
+    this.listener.status(this.address.memberId, status, sentAtMs);
+    if (this.#isLocked) this.listener.locked(this.address.memberId, sentAtMs);
   }
 
-  async #ask(connection: MemberConnection, text: string): ReturnType<MemberConnection['query']> {
+  async #query(connection: MemberConnection, text: string): ReturnType<MemberConnection['query']> {
     const timer = setTimeout(() => connection.destroy(), this.options.statusTimeoutMs);
     try {
       return await connection.query(text);
@@ -132,8 +135,8 @@
     }
   }
 
-  /** Waits, unless woken. */
-  async #pause(durationMs: number): Promise<void> {
+  /** Sleeps until the duration has passed or `#wake` is called. */
+  async #sleep(durationMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, durationMs);
       this.#wake = () => {
--- a/src/member/member-statements.ts
+++ b/src/member/member-statements.ts
@@ -1,8 +1,8 @@
 /**
- * The statements with which daemons watch, lock and fence members, and how their answers are read.
+ * Statements with which daemons monitor, lock and fence members, and the parsing of their results.
  *
- * All but the status are PostgreSQL's own (15 and later); the status is a function that operators install, see
- * docs/reference/member-interface.md.
+ * All of them are built into PostgreSQL 15 and later, except the status function, which operators install;
+ * see docs/reference/member-interface.md.
  *
  * @packageDocumentation
  */
@@ -10,35 +10,35 @@
 import type { MemberStatus } from '../group/group-description.js';
 import type { QueryRows } from './member-connection.js';
 
-/** Application name of the connections that carry callers' statements. */
+/** Application name of the connections that run clients' statements. */
 export const POOL_APPLICATION_NAME = 'sorrelladder-pool';
-/** Application name of the connections that watch a member and hold its lock. */
+/** Application name of the connections that monitor a member and hold its lock. */
 export const CONTROL_APPLICATION_NAME = 'sorrelladder-control';
 
-/** Asks a member for its role, term and log positions. */
+/** Queries the role, term and log positions of a member. */
 export const STATUS_STATEMENT = 'SELECT * FROM sorrelladder_group_status()';
 
-/** Ends the connections with which an earlier owner carried callers' statements. */
+/** Terminates the connections on which an earlier owner ran clients' statements. */
 export const FENCE_STATEMENT =
   'SELECT pg_terminate_backend(pid) FROM pg_stat_activity ' +
   `WHERE application_name = '${POOL_APPLICATION_NAME}' AND pid <> pg_backend_pid()`;
 
-/** Makes the member end the session when nothing is heard of it, in milliseconds. */
+/** Sets the idle time after which the member ends the session, in milliseconds. */
 export function idleTimeoutStatement(timeoutMs: number): string {
   return `SET idle_session_timeout = ${timeoutMs}`;
 }
 
-/** Tries to take the owner's lock of a database. */
+/** Tries to acquire the owner's advisory lock of a database. */
 export function lockStatement(database: string): string {
   return `SELECT pg_try_advisory_lock(${lockKey(database)}) AS locked`;
 }
 
-/** Key of the owner's lock: 48 bits of a hash, so that it is exact in every number type. */
+/** Key of the owner's lock: 48 bits of a hash, so that a JavaScript number represents it exactly. */
 function lockKey(database: string): number {
   return createHash('sha256').update(`sorrelladder owner ${database}`).digest().readUIntBE(0, 6);
 }
 
-/** Reads the answer to {@link STATUS_STATEMENT}; `null` when it is not of the expected form. */
+/** Parses the result of {@link STATUS_STATEMENT}; `null` when it is not of the expected form. */
 export function readStatus(rows: QueryRows): MemberStatus | null {
   const [row] = rows;
   if (row === undefined || (row['role'] !== 'primary' && row['role'] !== 'replica')) return null;
--- a/src/member/reply-plan.ts
+++ b/src/member/reply-plan.ts
@@ -1,12 +1,12 @@
 /**
- * Follows the replies to a batch of protocol messages, so that replies to messages which a daemon added are
- * hidden and the end of a Flush batch is recognised.
+ * Matches the replies to a batch of protocol messages with the messages that cause them. Replies to messages
+ * that the daemon added are hidden from the client, and the end of a batch that ends with Flush is detected.
  *
  * @packageDocumentation
  */
 import { BackendType } from '../wire/message-types.js';
 
-/** What a message of a batch is answered with. */
+/** Kind of reply to a message of a batch. */
 export type ReplyKind = 'parse' | 'bind' | 'close' | 'describeStatement' | 'describeRows' | 'execute';
 
 /** The expected reply to one message. */
@@ -14,10 +14,11 @@
   readonly kind: ReplyKind;
   /** True when the message was added by the daemon. */
   readonly isHidden: boolean;
-  /** Prepared statement that the message makes; empty for none. */
+  /** Prepared statement that the message creates; empty for none. */
   readonly statementName: string;
 }
 
+/** Message types that complete a reply of each kind. */
 const FINAL_TYPES: Readonly<Record<ReplyKind, ReadonlySet<number>>> = {
   parse: new Set([BackendType.parseComplete]),
   bind: new Set([BackendType.bindComplete]),
@@ -31,7 +32,7 @@
   ]),
 };
 
-/** The replies that are still to come. */
+/** The outstanding replies to one batch. */
 export class ReplyPlan {
   #next = 0;
   #failed = false;
@@ -45,12 +46,12 @@
     private readonly onPrepared: (statementName: string) => void,
   ) {}
 
-  /** True once all replies have come, or an error has ended the batch. */
+  /** True once all replies have been received, or an error has ended the batch. */
   get isDone(): boolean {
     return this.#failed || this.#next >= this.steps.length;
   }
 
-  /** Takes a reply into account; true when the client is to see it. */
+  /** Processes a reply; true when it is to be forwarded to the client. */
   accept(type: number): boolean {
     if (type === BackendType.errorResponse) {
       this.#failed = true;
--- a/src/member/reply-reader.ts
+++ b/src/member/reply-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the few fields of server messages that daemons look at.
+ * Parses the fields of server messages that daemons use.
  *
  * @packageDocumentation
  */
@@ -12,7 +12,7 @@
   return readErrorField(frame, FIELD_SQL_STATE) ?? 'XX000';
 }
 
-/** True when the server ends the connection with this ErrorResponse. */
+/** True when the server closes the connection after this ErrorResponse. */
 export function isFatalError(frame: Buffer): boolean {
   const severity = readErrorField(frame, FIELD_SEVERITY);
   return severity === 'FATAL' || severity === 'PANIC';
