--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -1,5 +1,5 @@
 /**
- * Probes other daemons and spreads news, after the SWIM paper.
+ * Failure detection and dissemination of membership updates between daemons, after the SWIM paper.
  *
  * @packageDocumentation
  */
@@ -9,22 +9,22 @@
 import type { MembershipTable } from './membership-table.js';
 import { isReachableState, type PeerRecord } from './peer-record.js';
 
-/** Settings of the gossip; times in milliseconds. */
+/** Gossip settings; times in milliseconds. */
 export interface GossipOptions {
   readonly table: MembershipTable;
   readonly links: PeerLinks;
   /** Time between probes; each round probes one daemon. */
   readonly intervalMs: number;
-  /** Time in which a probe must be answered. */
+  /** Time within which a probe must be acknowledged. */
   readonly probeTimeoutMs: number;
-  /** Daemons asked to probe a silent one. */
+  /** Number of daemons asked to probe one that did not acknowledge a direct probe. */
   readonly indirectProbes: number;
-  /** Time between comparisons of the whole table with one daemon. */
+  /** Mean time between digest comparisons of the whole table with one daemon. */
   readonly syncIntervalMs: number;
   readonly random: () => number;
-  /** Version of the configuration in force here; 0 for none. */
+  /** Active configuration version of this daemon; 0 for none. */
   readonly configurationVersion: () => number;
-  /** Called with the version that another daemon says it has in force. */
+  /** Called with the active configuration version that another daemon reports. */
   readonly onVersion: (daemonId: string, version: number) => void;
   /** Called after records have changed. */
   readonly onChange: () => void;
@@ -33,37 +33,37 @@
 
 interface Probe {
   readonly daemonId: string;
-  answered: boolean;
+  acknowledged: boolean;
 }
 
-/** Daemons told at once of a change that should not wait for the next round. */
+/** Number of daemons that receive an urgent update without waiting for the next round. */
 const URGENT_FANOUT = 8;
 
-/** Runs the rounds of one daemon. */
+/** Runs the gossip rounds of one daemon. */
 export class Gossip {
   readonly #probes = new Map<number, Probe>();
-  readonly #relayed = new Map<
+  readonly #relayedProbes = new Map<
     number,
     { readonly pingId: number; readonly reply: (message: PeerMessage) => void }
   >();
   readonly #timers: NodeJS.Timeout[] = [];
-  #comparisonTimer: NodeJS.Timeout | null = null;
+  #digestTimer: NodeJS.Timeout | null = null;
   #nextPingId = 1;
-  #order: string[] = [];
+  #probeOrder: string[] = [];
 
   constructor(private readonly options: GossipOptions) {}
 
-  /** Starts the rounds, and fetches all records from the daemons known at the start. */
+  /** Starts the probe rounds and the periodic digest comparisons. */
   start(): void {
     const { intervalMs, syncIntervalMs } = this.options;
-    this.#timers.push(setInterval(() => this.#round(), intervalMs));
-    this.#scheduleComparison(syncIntervalMs);
+    this.#timers.push(setInterval(() => this.#runRound(), intervalMs));
+    this.#scheduleDigest(syncIntervalMs);
   }
 
-  /** Stops the rounds. */
+  /** Stops the probe rounds and the digest comparisons. */
   stop(): void {
     for (const timer of this.#timers) clearInterval(timer);
-    if (this.#comparisonTimer !== null) clearTimeout(this.#comparisonTimer);
+    if (this.#digestTimer !== null) clearTimeout(this.#digestTimer);
   }
 
   /** Exchanges all records with a daemon. */
@@ -72,16 +72,16 @@
     links.to(target).tell({ kind: 'sync', records: table.all, wantsReply: true });
   }
 
-  /** Tells some daemons the news at once. */
+  /** Sends pending updates to some daemons immediately. */
   spreadNow(): void {
     const { table, links } = this.options;
-    const others = shuffle(table.others, this.options.random).slice(0, URGENT_FANOUT);
-    const news = table.takeNews();
-    for (const record of others)
-      links.to(record).tell({ kind: 'ping', pingId: 0, news, ...this.#senderState() });
+    const targets = shuffle(table.others, this.options.random).slice(0, URGENT_FANOUT);
+    const updates = table.takeNews();
+    for (const record of targets)
+      links.to(record).tell({ kind: 'ping', pingId: 0, news: updates, ...this.#senderState() });
   }
 
-  /** Handles a message that came over a link opened by another daemon. */
+  /** Handles a message received on a link that another daemon opened. */
   handleIncoming(message: PeerMessage, reply: (message: PeerMessage) => void): void {
     const { table } = this.options;
     switch (message.kind) {
@@ -105,16 +105,16 @@
     }
   }
 
-  /** Handles an answer that came over a link opened by this daemon. */
+  /** Handles a reply received on a link that this daemon opened. */
   handleAnswer(daemonId: string, message: PeerMessage): void {
-    if (message.kind === 'sync') this.#handleSyncAnswer(message, daemonId);
+    if (message.kind === 'sync') this.#handleSyncReply(message, daemonId);
     if (message.kind !== 'ack') return;
     this.#merge(message.news);
     this.options.onVersion(message.from, message.configurationVersion);
     const probe = this.#probes.get(message.pingId);
-    if (probe !== undefined) probe.answered = true;
-    const relayed = this.#relayed.get(message.pingId);
-    this.#relayed.delete(message.pingId);
+    if (probe !== undefined) probe.acknowledged = true;
+    const relayed = this.#relayedProbes.get(message.pingId);
+    this.#relayedProbes.delete(message.pingId);
     relayed?.reply({ kind: 'ack', pingId: relayed.pingId, news: [], ...this.#senderState() });
   }
 
@@ -123,23 +123,24 @@
     return { from: table.own.daemonId, configurationVersion: configurationVersion() };
   }
 
-  /** @param isBulk - true for a whole table, which need not be passed on record by record */
-  #merge(records: readonly PeerRecord[], isBulk = false): void {
+  /** @param isFullTable - true for a whole table, whose records need not be disseminated one by one */
+  #merge(records: readonly PeerRecord[], isFullTable = false): void {
     const nowMs = performance.now();
     let isChanged = false;
-    for (const record of records) isChanged = this.options.table.merge(record, nowMs, !isBulk) || isChanged;
+    for (const record of records)
+      isChanged = this.options.table.merge(record, nowMs, !isFullTable) || isChanged;
     if (isChanged) this.options.onChange();
   }
 
-  #round(): void {
+  #runRound(): void {
     const { table } = this.options;
     for (const record of table.expire(performance.now())) this.options.onDead(record);
-    this.#probeOneDead();
-    const target = this.#nextTarget();
+    this.#pingDeadDaemon();
+    const target = this.#nextProbeTarget();
     if (target !== null) this.#probe(target);
   }
 
-  /** Probes a daemon now, for instance since a link to it was lost. */
+  /** Probes a daemon immediately, for example after a link to it was lost. */
   probeNow(daemonId: string): void {
     const record = this.options.table.find(daemonId);
     const isProbed = [...this.#probes.values()].some((probe) => probe.daemonId === daemonId);
@@ -149,16 +150,16 @@
   #probe(target: PeerRecord): void {
     const { table, links } = this.options;
     const pingId = this.#nextPingId++;
-    this.#probes.set(pingId, { daemonId: target.daemonId, answered: false });
+    this.#probes.set(pingId, { daemonId: target.daemonId, acknowledged: false });
     links.to(target).tell({ kind: 'ping', pingId, news: table.takeNews(), ...this.#senderState() });
-    setTimeout(() => this.#checkDirect(pingId, target), this.options.probeTimeoutMs).unref();
+    setTimeout(() => this.#checkDirectProbe(pingId, target), this.options.probeTimeoutMs).unref();
   }
 
   /**
-   * Tells one daemon that is believed dead so, lest a healed cut leave two sides that never speak again: a
-   * daemon that hears of its own death refutes it.
+   * Sends one daemon that is considered dead its own record. Without this, two sides of a healed network
+   * partition would never contact each other again; a daemon that receives its own `dead` record refutes it.
    */
-  #probeOneDead(): void {
+  #pingDeadDaemon(): void {
     const { table, links, random } = this.options;
     const dead = table.all.filter(({ state }) => state === 'dead');
     const record = dead[Math.floor(random() * dead.length)];
@@ -166,41 +167,41 @@
       links.to(record).tell({ kind: 'ping', pingId: 0, news: [record], ...this.#senderState() });
   }
 
-  /** Each daemon is probed once before any is probed again. */
-  #nextTarget(): PeerRecord | null {
+  /** Returns the next daemon to probe, in random order; each is probed once before any is probed again. */
+  #nextProbeTarget(): PeerRecord | null {
     const { table, random } = this.options;
     for (;;) {
-      if (this.#order.length === 0) {
-        this.#order = shuffle(
+      if (this.#probeOrder.length === 0) {
+        this.#probeOrder = shuffle(
           table.others.map(({ daemonId }) => daemonId),
           random,
         );
-        if (this.#order.length === 0) return null;
+        if (this.#probeOrder.length === 0) return null;
       }
-      const record = table.find(this.#order.pop() ?? '');
+      const record = table.find(this.#probeOrder.pop() ?? '');
       if (record !== null && isReachableState(record.state)) return record;
     }
   }
 
-  #checkDirect(pingId: number, target: PeerRecord): void {
+  #checkDirectProbe(pingId: number, target: PeerRecord): void {
     const { table, links, indirectProbes, random, probeTimeoutMs } = this.options;
-    if (this.#probes.get(pingId)?.answered === true) {
+    if (this.#probes.get(pingId)?.acknowledged === true) {
       this.#probes.delete(pingId);
       return;
     }
-    const helpers = table.others.filter(
+    const intermediaries = table.others.filter(
       ({ daemonId, state }) => daemonId !== target.daemonId && state === 'alive',
     );
-    for (const helper of shuffle(helpers, random).slice(0, indirectProbes)) {
-      links.to(helper).tell({ kind: 'pingRequest', pingId, target: target.daemonId });
+    for (const intermediary of shuffle(intermediaries, random).slice(0, indirectProbes)) {
+      links.to(intermediary).tell({ kind: 'pingRequest', pingId, target: target.daemonId });
     }
-    setTimeout(() => this.#checkIndirect(pingId, target), probeTimeoutMs).unref();
+    setTimeout(() => this.#checkIndirectProbe(pingId, target), probeTimeoutMs).unref();
   }
 
-  #checkIndirect(pingId: number, target: PeerRecord): void {
-    const answered = this.#probes.get(pingId)?.answered === true;
+  #checkIndirectProbe(pingId: number, target: PeerRecord): void {
+    const isAcknowledged = this.#probes.get(pingId)?.acknowledged === true;
     this.#probes.delete(pingId);
-    if (answered) return;
+    if (isAcknowledged) return;
     this.options.table.suspect(target.daemonId, performance.now());
     this.options.onChange();
   }
@@ -209,12 +210,12 @@
     const record = this.options.table.find(target);
     if (record === null) return;
     const ownPingId = this.#nextPingId++;
-    this.#relayed.set(ownPingId, { pingId, reply });
+    this.#relayedProbes.set(ownPingId, { pingId, reply });
     this.options.links.to(record).tell({ kind: 'ping', pingId: ownPingId, news: [], ...this.#senderState() });
-    setTimeout(() => this.#relayed.delete(ownPingId), this.options.probeTimeoutMs * 2).unref();
+    setTimeout(() => this.#relayedProbes.delete(ownPingId), this.options.probeTimeoutMs * 2).unref();
   }
 
-  #handleSyncAnswer(message: SyncMessage, daemonId: string): void {
+  #handleSyncReply(message: SyncMessage, daemonId: string): void {
     this.#merge(message.records, true);
     const { table, links } = this.options;
     const record = table.find(daemonId);
@@ -222,16 +223,16 @@
       links.to(record).tell({ kind: 'sync', records: table.all, wantsReply: false });
   }
 
-  /** Daemons that started together do not compare together. */
-  #scheduleComparison(intervalMs: number): void {
+  /** The delay is randomised so that daemons that started together do not send their digests together. */
+  #scheduleDigest(intervalMs: number): void {
     const delayMs = intervalMs * (0.5 + this.options.random());
-    this.#comparisonTimer = setTimeout(() => {
-      this.#compareWithOne();
-      this.#scheduleComparison(intervalMs);
+    this.#digestTimer = setTimeout(() => {
+      this.#sendDigest();
+      this.#scheduleDigest(intervalMs);
     }, delayMs);
   }
 
-  #compareWithOne(): void {
+  #sendDigest(): void {
     const { table, links, random } = this.options;
     const [target] = shuffle(table.others, random);
     if (target !== undefined) links.to(target).tell({ kind: 'digest', digest: table.digest() });
--- a/src/membership/membership-table.ts
+++ b/src/membership/membership-table.ts
@@ -1,5 +1,5 @@
 /**
- * The daemons that one daemon knows, merged from gossip after the SWIM paper (Das, Gupta and Motivala, 2002).
+ * Membership table of one daemon, merged from gossip after the SWIM paper (Das, Gupta and Motivala, 2002).
  * Pure: the caller passes the time.
  *
  * @packageDocumentation
@@ -8,23 +8,24 @@
 
 /** Settings of the table. */
 export interface MembershipTableOptions {
-  /** Time between suspicion and death, in milliseconds. */
+  /** Time after which a suspected daemon is declared dead, in milliseconds. */
   readonly suspicionTimeoutMs: number;
-  /** Time after which a dead daemon is forgotten, in milliseconds. */
+  /** Time after which the record of a dead daemon is removed, in milliseconds. */
   readonly forgetAfterMs: number;
-  /** Most records in one message. */
+  /** Maximum number of records in one message. */
   readonly maxUpdatesPerMessage: number;
 }
 
 interface Entry {
   record: PeerRecord;
-  /** Monotonic time of the last change of state, in milliseconds. */
+  /** Monotonic time of the last change of the record, in milliseconds. */
   changedAtMs: number;
 }
 
+/** Number of times an update is sent, per binary logarithm of the table size. */
 const RETRANSMIT_FACTOR = 3;
 
-/** FNV-1a (Fowler, Noll and Vo) over what tells versions of a record apart. */
+/** FNV-1a hash (Fowler, Noll and Vo) of the fields that distinguish versions of a record. */
 function hashRecord({ daemonId, incarnation, sequence, state }: PeerRecord): number {
   let hash = 0x811c9dc5;
   for (const character of `${daemonId} ${incarnation} ${sequence} ${state}`) {
@@ -33,12 +34,13 @@
   return hash >>> 0;
 }
 
-/** Records of all known daemons and the queue of news to pass on. @public */
+/** Records of all known daemons and the queue of updates to disseminate. @public */
 export class MembershipTable {
   readonly #entries = new Map<string, Entry>();
-  readonly #news = new Map<string, number>();
-  /** Daemons that say they own a database, by database. */
-  readonly #claims = new Map<string, Set<string>>();
+  /** Number of times that each pending update was sent, by daemon. */
+  readonly #updateSends = new Map<string, number>();
+  /** Daemons that report owning a database, by database. */
+  readonly #reportedOwners = new Map<string, Set<string>>();
   #own: PeerRecord;
 
   constructor(
@@ -46,12 +48,12 @@
     private readonly options: MembershipTableOptions,
   ) {
     this.#own = own;
-    this.#queueNews(own.daemonId);
+    this.#queueUpdate(own.daemonId);
   }
 
-  /** Number of records that are still being passed on. */
+  /** Number of records that are still being disseminated. */
   get pendingNews(): number {
-    return this.#news.size;
+    return this.#updateSends.size;
   }
 
   /** This daemon's own record. */
@@ -60,7 +62,7 @@
   }
 
   /**
-   * A sum over all records: two tables that agree have the same. It depends on neither order nor time.
+   * Sum of the record hashes: equal for tables with equal records, and independent of order and time.
    */
   digest(): number {
     return this.all.reduce((sum, record) => (sum + hashRecord(record)) >>> 0, 0);
@@ -78,23 +80,26 @@
     return [this.#own, ...[...this.#entries.values()].map(({ record }) => record)];
   }
 
-  /** Ids of the daemons that may own databases: alive ones, and this daemon unless it leaves. */
+  /** Ids of the daemons that may own databases: `alive` and `suspect` ones, this daemon included. */
   get candidateIds(): readonly string[] {
     return this.all
       .filter(({ state }) => state === 'alive' || state === 'suspect')
       .map(({ daemonId }) => daemonId);
   }
 
-  /** Record of one other daemon, or `null`. */
+  /** Record of another daemon, or `null`. */
   find(daemonId: string): PeerRecord | null {
     return this.#entries.get(daemonId)?.record ?? null;
   }
 
-  /** The daemon that says it owns a database, or `null`; with several, the one heard of last. */
+  /**
+   * The daemon that reports owning a database, or `null`. This daemon takes precedence; among several others,
+   * the one whose record changed last does.
+   */
   ownerOf(database: string): PeerRecord | null {
     if (this.#own.ownedDatabases.includes(database)) return this.#own;
     let best: Entry | null = null;
-    for (const daemonId of this.#claims.get(database) ?? []) {
+    for (const daemonId of this.#reportedOwners.get(database) ?? []) {
       const entry = this.#entries.get(daemonId);
       if (entry === undefined || !isReachableState(entry.record.state)) continue;
       if (best === null || entry.changedAtMs > best.changedAtMs) best = entry;
@@ -105,29 +110,35 @@
   /** Changes this daemon's own record. */
   updateOwn(change: Partial<Pick<PeerRecord, 'state' | 'ownedDatabases'>>): void {
     this.#own = { ...this.#own, ...change, sequence: this.#own.sequence + 1 };
-    this.#queueNews(this.#own.daemonId);
+    this.#queueUpdate(this.#own.daemonId);
   }
 
-  /** Merges a record; true when it was news, which is then passed on if `isPassedOn`. */
-  merge(record: PeerRecord, nowMs: number, isPassedOn = true): boolean {
+  /**
+   * Merges a record; true when it changed the table. The change is queued for dissemination if
+   * `isDisseminated`.
+   */
+  merge(record: PeerRecord, nowMs: number, isDisseminated = true): boolean {
     if (record.daemonId === this.#own.daemonId) return this.#refute(record);
     const entry = this.#entries.get(record.daemonId);
     if (entry !== undefined && !supersedes(record, entry.record)) return false;
-    this.#withdrawClaims(entry?.record);
+    this.#removeReportedOwnership(entry?.record);
     this.#entries.set(record.daemonId, { record, changedAtMs: nowMs });
-    this.#recordClaims(record);
-    if (isPassedOn) this.#queueNews(record.daemonId);
+    this.#addReportedOwnership(record);
+    if (isDisseminated) this.#queueUpdate(record.daemonId);
     return true;
   }
 
-  /** Marks a daemon that missed its probes. */
+  /** Marks a daemon that did not acknowledge its probes as suspect. */
   suspect(daemonId: string, nowMs: number): void {
     const entry = this.#entries.get(daemonId);
     if (entry === undefined || (entry.record.state !== 'alive' && entry.record.state !== 'leaving')) return;
     this.#setState(entry, 'suspect', nowMs);
   }
 
-  /** Turns old suspicions into deaths and forgets the long dead; returns the newly dead. */
+  /**
+   * Declares daemons dead that were suspect for too long, and removes old dead records; returns the newly
+   * dead.
+   */
   expire(nowMs: number): readonly PeerRecord[] {
     const dead: PeerRecord[] = [];
     for (const [daemonId, entry] of this.#entries) {
@@ -136,60 +147,62 @@
         this.#setState(entry, 'dead', nowMs);
         dead.push(entry.record);
       } else if (entry.record.state === 'dead' && ageMs >= this.options.forgetAfterMs) {
-        this.#withdrawClaims(entry.record);
+        this.#removeReportedOwnership(entry.record);
         this.#entries.delete(daemonId);
       }
     }
     return dead;
   }
 
-  /** News for one message; each record is passed on a number of times that grows with the logarithm of the size. */
+  /**
+   * Updates for one message; each is sent a number of times that grows with the logarithm of the table size.
+   */
   takeNews(): readonly PeerRecord[] {
     const limit = Math.ceil(RETRANSMIT_FACTOR * Math.log2(this.#entries.size + 2));
-    const chosen = [...this.#news.entries()]
+    const selected = [...this.#updateSends.entries()]
       .sort((a, b) => a[1] - b[1])
       .slice(0, this.options.maxUpdatesPerMessage);
     const records: PeerRecord[] = [];
-    for (const [daemonId, sent] of chosen) {
+    for (const [daemonId, sent] of selected) {
       const record = daemonId === this.#own.daemonId ? this.#own : this.#entries.get(daemonId)?.record;
       if (record !== undefined) records.push(record);
-      if (record === undefined || sent + 1 >= limit) this.#news.delete(daemonId);
-      else this.#news.set(daemonId, sent + 1);
+      if (record === undefined || sent + 1 >= limit) this.#updateSends.delete(daemonId);
+      else this.#updateSends.set(daemonId, sent + 1);
     }
     return records;
   }
 
-  #recordClaims({ daemonId, ownedDatabases }: PeerRecord): void {
+  #addReportedOwnership({ daemonId, ownedDatabases }: PeerRecord): void {
     for (const database of ownedDatabases) {
-      const claimants = this.#claims.get(database) ?? new Set();
-      claimants.add(daemonId);
-      this.#claims.set(database, claimants);
+      const owners = this.#reportedOwners.get(database) ?? new Set();
+      owners.add(daemonId);
+      this.#reportedOwners.set(database, owners);
     }
   }
 
-  #withdrawClaims(record: PeerRecord | undefined): void {
+  #removeReportedOwnership(record: PeerRecord | undefined): void {
     for (const database of record?.ownedDatabases ?? []) {
-      const claimants = this.#claims.get(database);
-      claimants?.delete(record?.daemonId ?? '');
-      if (claimants?.size === 0) this.#claims.delete(database);
+      const owners = this.#reportedOwners.get(database);
+      owners?.delete(record?.daemonId ?? '');
+      if (owners?.size === 0) this.#reportedOwners.delete(database);
     }
   }
 
   #setState(entry: Entry, state: PeerState, nowMs: number): void {
     entry.record = { ...entry.record, state };
     entry.changedAtMs = nowMs;
-    this.#queueNews(entry.record.daemonId);
+    this.#queueUpdate(entry.record.daemonId);
   }
 
   #refute(record: PeerRecord): boolean {
     const isWrong = record.state === 'suspect' || record.state === 'dead';
     if (!isWrong || !supersedes(record, this.#own)) return false;
     this.#own = { ...this.#own, sequence: Math.max(this.#own.sequence, record.sequence) + 1 };
-    this.#queueNews(this.#own.daemonId);
+    this.#queueUpdate(this.#own.daemonId);
     return true;
   }
 
-  #queueNews(daemonId: string): void {
-    this.#news.set(daemonId, 0);
+  #queueUpdate(daemonId: string): void {
+    this.#updateSends.set(daemonId, 0);
   }
 }
