--- a/src/verdict/verdict.ts
+++ b/src/verdict/verdict.ts
@@ -1,5 +1,5 @@
 /**
- * Verdicts: what a caller may conclude about a request that did not get its normal answer.
+ * Verdicts: whether a request that failed or was refused may have had an effect.
  *
  * @packageDocumentation
  */
@@ -7,15 +7,15 @@
 /**
  * Whether a request has had an effect.
  *
- * - `not_run`: no member executed the request; asking again is safe.
- * - `may_have_run`: it is unknown; asking again is safe only for repeatable requests.
+ * - `not_run`: no member executed the request; a retry is safe.
+ * - `may_have_run`: unknown; a retry is safe only for repeatable requests.
  * - `ran`: the request took effect earlier.
  *
  * @public
  */
 export type Verdict = 'not_run' | 'may_have_run' | 'ran';
 
-/** SQLSTATE codes used by the daemons (PostgreSQL documentation, appendix A). */
+/** SQLSTATE codes that the daemons use (PostgreSQL documentation, appendix A). */
 export const SqlState = {
   connectionFailure: '08006',
   protocolViolation: '08P01',
@@ -39,7 +39,7 @@
 export type SqlStateCode = (typeof SqlState)[keyof typeof SqlState];
 
 /**
- * The final outcome of a request that was refused, given up on, or lost.
+ * Final outcome of a request that was refused, abandoned or lost.
  *
  * @public
  */
@@ -47,8 +47,8 @@
   /**
    * @param sqlState - five-character SQLSTATE
    * @param verdict - whether the request may have had an effect
-   * @param message - one sentence for the caller
-   * @param retryAfterMs - when to come back, in milliseconds; `null` when coming back is of no use
+   * @param message - one sentence for the client
+   * @param retryAfterMs - time after which to retry, in milliseconds; `null` when a retry does not help
    */
   constructor(
     readonly sqlState: SqlStateCode,
@@ -60,7 +60,7 @@
     this.name = 'RequestError';
   }
 
-  /** True when the request's transaction is gone with its connection; the client has yet to roll it back. */
+  /** True when the transaction was lost with its connection; the client still has to send ROLLBACK. */
   get endsTransaction(): boolean {
     return this.sqlState === SqlState.connectionFailure;
   }
