--- a/src/machines/machine-list.ts
+++ b/src/machines/machine-list.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's list of live and leaving machines. It lags, so it is a hint: where to find other daemons, and
- * which members are about to leave.
+ * The platform's list of live and leaving machines. The list may be out of date, so it is used only as a
+ * hint: where to contact other daemons, and which members are about to leave.
  *
  * @packageDocumentation
  */
@@ -18,68 +18,68 @@
 
 const listSchema = z.object({ machines: z.array(machineSchema) });
 
-/** One machine of the list. */
+/** An entry of the list. */
 export type Machine = z.infer<typeof machineSchema>;
 
-/** Asks for the list again and again and keeps the last answer. */
+/** Polls the list and caches the last response. */
 export class MachineList {
-  /** Bytes of requests and answers so far, without the protocols below HTTP. */
+  /** Bytes of requests and responses so far, without the overhead of the protocols below HTTP. */
   traffic = 0;
   #machines: readonly Machine[] = [];
   #entityTag: string | null = null;
   #timer: NodeJS.Timeout | null = null;
 
-  /** @param http - where the list is; `null` when there is none */
+  /** @param http - endpoint of the list; `null` when there is none */
   constructor(
     private readonly http: JsonHttpOptions | null,
     private readonly intervalMs: number,
-    /** Called after each answer, also when nothing has changed. */
-    private readonly onAnswer: () => void,
+    /** Called after each response, also when the list has not changed. */
+    private readonly onResponse: () => void,
   ) {}
 
-  /** The machines as last heard. */
+  /** The machines of the last response. */
   get machines(): readonly Machine[] {
     return this.#machines;
   }
 
-  /** Asks for the list now; keeps the last one when there is no answer. */
+  /** Fetches the list; keeps the cached one when the request fails. */
   async refresh(): Promise<void> {
     if (this.http === null) return;
     try {
-      const answer = await requestIfChanged(this.http, '/v1/machines', this.#entityTag);
-      this.traffic += answer.bytes;
-      if (answer.kind === 'changed') this.#adopt(answer.body, answer.entityTag);
-      this.onAnswer();
+      const response = await requestIfChanged(this.http, '/v1/machines', this.#entityTag);
+      this.traffic += response.bytes;
+      if (response.kind === 'changed') this.#updateMachines(response.body, response.entityTag);
+      this.onResponse();
     } catch {
-      // The list is a hint: without an answer the last one stands.
+      // The list is only a hint: when the request fails, the cached one remains in use.
     }
   }
 
-  #adopt(body: unknown, entityTag: string | null): void {
+  #updateMachines(body: unknown, entityTag: string | null): void {
     const result = listSchema.safeParse(body);
     if (!result.success) return;
     this.#entityTag = entityTag;
     this.#machines = result.data.machines;
   }
 
-  /** Starts to ask regularly. */
+  /** Starts polling. */
   start(): void {
     this.#timer = setInterval(() => void this.refresh(), this.intervalMs);
   }
 
-  /** Stops to ask. */
+  /** Stops polling. */
   stop(): void {
     if (this.#timer !== null) clearInterval(this.#timer);
   }
 
-  /** True when the list says that a member leaves. */
+  /** True when the list reports a member as leaving. */
   isMemberLeaving(memberId: string): boolean {
     return this.#machines.some(
       ({ id, kind, state }) => kind === 'member' && id === memberId && state === 'leaving',
     );
   }
 
-  /** Number of daemons on the list. */
+  /** Number of daemons in the list. */
   get daemonCount(): number {
     return this.#machines.filter(({ kind }) => kind === 'daemon').length;
   }
--- a/src/session/session-positions.ts
+++ b/src/session/session-positions.ts
@@ -1,5 +1,5 @@
 /**
- * Remembers, for one database, the position of each session's last acknowledged write. Pure.
+ * Log position of each session's last acknowledged write to one database. Pure.
  *
  * @packageDocumentation
  */
@@ -12,11 +12,11 @@
 } from '../position/position.js';
 
 /**
- * Last write of each session, above a floor that holds for all.
+ * Position of the last write of each session, and a floor: a lower bound that applies to all sessions.
  *
- * The floor covers what this daemon cannot know: writes acknowledged by an earlier owner of the database, and
- * entries dropped for want of room. Raising the floor is always safe; it only sends more reads to the primary
- * until replicas have caught up.
+ * The floor covers writes without an entry: those acknowledged by an earlier owner of the database, and those
+ * whose entries were evicted. Raising the floor is always safe; it only sends more reads to the primary until
+ * replicas have caught up.
  *
  * @public
  */
@@ -24,10 +24,10 @@
   readonly #positions = new Map<string, Position>();
   #floor: Position = ZERO_POSITION;
 
-  /** @param maxSessions - entries kept before the oldest is folded into the floor */
+  /** @param maxSessions - maximum number of entries; beyond it, the oldest is evicted and raises the floor */
   constructor(private readonly maxSessions: number) {}
 
-  /** Position below which nothing is known session by session. */
+  /** Position that every session requires at least. */
   get floor(): Position {
     return this.#floor;
   }
@@ -37,32 +37,32 @@
     return this.#positions.size;
   }
 
-  /** Raises the floor. */
+  /** Raises the floor to a position; a lower one is ignored. */
   raiseFloor(position: Position): void {
     this.#floor = laterPosition(this.#floor, position);
   }
 
   /** Records an acknowledged write. */
   recordWrite(session: string, position: Position): void {
-    const known = this.#positions.get(session) ?? ZERO_POSITION;
+    const previous = this.#positions.get(session) ?? ZERO_POSITION;
     this.#positions.delete(session);
-    this.#positions.set(session, laterPosition(known, position));
-    if (this.#positions.size > this.maxSessions) this.#dropOldest();
+    this.#positions.set(session, laterPosition(previous, position));
+    if (this.#positions.size > this.maxSessions) this.#evictOldest();
   }
 
-  /** Position that a member must have reached to serve the session's next read. */
+  /** Position that a member must have applied to serve the session's next read. */
   required(session: string): Position {
     return laterPosition(this.#floor, this.#positions.get(session) ?? ZERO_POSITION);
   }
 
-  /** Forgets entries that every member has applied: any member will do for them. */
+  /** Removes entries that every member has applied: any member can serve those sessions. */
   forgetApplied(appliedEverywhere: Position): void {
     for (const [session, position] of this.#positions) {
       if (hasReached(appliedEverywhere, position)) this.#positions.delete(session);
     }
   }
 
-  #dropOldest(): void {
+  #evictOldest(): void {
     const oldest = this.#positions.entries().next().value;
     if (oldest === undefined) return;
     this.#positions.delete(oldest[0]);
--- a/src/settings/format-issues.ts
+++ b/src/settings/format-issues.ts
@@ -1,16 +1,16 @@
 /**
- * Turns the findings of a schema check into lines that say where and what was expected.
+ * Formats schema validation issues as lines that state the path and what was expected.
  *
  * @packageDocumentation
  */
 
-/** The part of a schema finding that is shown. */
+/** The fields of a validation issue that are shown. */
 export interface SchemaIssue {
   readonly path: readonly PropertyKey[];
   readonly message: string;
 }
 
-/** One line for each finding: the path, then what was expected. */
+/** Returns one line per issue: the path, then what was expected. */
 export function formatIssues(root: string, issues: readonly SchemaIssue[]): readonly string[] {
   return issues.map(({ path, message }) => `${formatPath(root, path)}: ${message}`);
 }
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a daemon: one YAML file, checked against a schema, with flags on top.
+ * Settings of a daemon: a YAML file, overridden by command-line flags and validated against a schema.
  *
  * @packageDocumentation
  */
@@ -26,7 +26,7 @@
     peer: address,
     http: address,
   }),
-  /** Address under which other daemons reach this one, where it differs from `listen.peer`. */
+  /** Address at which other daemons reach this one, if it differs from `listen.peer`. */
   advertise: z.strictObject({ peer: address }).optional(),
   /** Local IP address of outgoing connections. */
   outboundAddress: host.nullable().default(null),
@@ -62,7 +62,7 @@
         .default(32 * 1024 * 1024),
       maxQueueLength: z.number().int().min(1).default(1000),
       maxSessions: z.number().int().min(1).default(100_000),
-      /** Connections of a member that the daemons leave for watching it and for changes of owner. */
+      /** Connections per member that are kept free for monitoring and for changes of owner. */
       reservedConnections: z.number().int().min(2).default(3),
     })
     .prefault({}),
@@ -98,13 +98,13 @@
   log: z.strictObject({ level: z.enum(LOG_LEVELS).default('info') }).prefault({}),
 });
 
-/** Checked settings of a daemon. @public */
+/** Validated settings of a daemon. @public */
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** Flags that override the file; a path such as `daemon.id` to its value. */
+/** Flags that override the file: values by path, for example `daemon.id`. */
 export type SettingOverrides = ReadonlyMap<string, string>;
 
-/** Reads and checks a settings file; the problems, one a line, when it has any. */
+/** Reads and validates a settings file; returns the issues, one per line, if there are any. */
 export function loadSettings(path: string, overrides: SettingOverrides): Either<readonly string[], Settings> {
   let text: string;
   try {
@@ -115,7 +115,7 @@
   return parseSettings(text, overrides);
 }
 
-/** Checks a settings text. */
+/** Validates the text of a settings file. */
 export function parseSettings(
   text: string,
   overrides: SettingOverrides,
@@ -128,19 +128,19 @@
   }
   if (raw === null || typeof raw !== 'object') return Left(['settings: expected a mapping']);
   for (const [path, value] of overrides)
-    setPath(raw as Record<string, unknown>, path.split('.'), parseYaml(value));
+    setAtPath(raw as Record<string, unknown>, path.split('.'), parseYaml(value));
   const result = settingsSchema.safeParse(raw);
   return result.success ? Right(result.data) : Left(formatIssues('settings', result.error.issues));
 }
 
-function setPath(target: Record<string, unknown>, path: readonly string[], value: unknown): void {
+function setAtPath(target: Record<string, unknown>, path: readonly string[], value: unknown): void {
   const [name = '', ...rest] = path;
   if (rest.length === 0) {
     target[name] = value;
     return;
   }
-  const inner = target[name];
-  const next = inner !== null && typeof inner === 'object' ? (inner as Record<string, unknown>) : {};
+  const existing = target[name];
+  const next = existing !== null && typeof existing === 'object' ? (existing as Record<string, unknown>) : {};
   target[name] = next;
-  setPath(next, rest, value);
+  setAtPath(next, rest, value);
 }
