--- a/src/wire/as-buffer.ts
+++ b/src/wire/as-buffer.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-/** The same bytes as a Buffer. */
+/** Returns a Buffer over the same memory. */
 export function asBuffer(bytes: Uint8Array): Buffer {
   return Buffer.isBuffer(bytes) ? bytes : Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
--- a/src/wire/backend-messages.ts
+++ b/src/wire/backend-messages.ts
@@ -1,5 +1,5 @@
 /**
- * Builds messages that a server sends (PostgreSQL protocol, version 3).
+ * Encodes the messages that a server sends (PostgreSQL protocol, version 3).
  *
  * @packageDocumentation
  */
@@ -34,7 +34,7 @@
   return message(BackendType.parameterStatus, cstring(name), cstring(value));
 }
 
-/** BackendKeyData: the key a client needs for a CancelRequest. */
+/** BackendKeyData: the process id and secret key that a client needs for a CancelRequest. */
 export function backendKeyData(processId: number, secretKey: number): Buffer {
   return message(BackendType.backendKeyData, int32(processId), int32(secretKey));
 }
@@ -115,7 +115,9 @@
   return message(BackendType.errorResponse, ...parts, Buffer.from([0]));
 }
 
-/** ErrorResponse for a {@link RequestError}: the verdict is the detail, when to come back is the hint. */
+/**
+ * ErrorResponse for a {@link RequestError}: the detail holds the verdict, the hint the delay before a retry.
+ */
 export function errorResponseFor(error: RequestError, severity: 'ERROR' | 'FATAL' = 'ERROR'): Buffer {
   return errorResponse({
     severity,
--- a/src/wire/corked-writer.ts
+++ b/src/wire/corked-writer.ts
@@ -1,17 +1,17 @@
 /**
- * Joins what is written to a socket in one turn of the event loop into one system call.
+ * Combines all writes to a socket within one event-loop turn into one system call.
  *
  * @packageDocumentation
  */
 import type { Socket } from 'node:net';
 
-/** Writes to a socket, corked until the end of the turn. */
+/** Writes to a socket that stays corked until the end of the event-loop turn. */
 export class CorkedWriter {
   #isCorked = false;
 
   constructor(private readonly socket: Socket) {}
 
-  /** Writes data; it leaves at the end of the turn. */
+  /** Buffers data, which is sent at the end of the event-loop turn. */
   write(data: Uint8Array): void {
     if (!this.#isCorked) {
       this.#isCorked = true;
--- a/src/wire/frame-splitter.ts
+++ b/src/wire/frame-splitter.ts
@@ -1,23 +1,23 @@
 /**
- * Splits a byte stream of the PostgreSQL protocol (version 3) into whole messages.
+ * Splits a byte stream of the PostgreSQL protocol (version 3) into complete messages.
  *
  * @packageDocumentation
  */
 
-/** Thrown when a peer sends a length that the protocol or the limit forbids. */
+/** Thrown when a message has a length or type that the protocol or a limit does not allow. */
 export class FrameError extends Error {}
 
 const HEADER_BYTES = 5;
 const LENGTH_FIELD_BYTES = 4;
 
-/** Collects chunks and yields whole messages, each with its type byte and length field. */
+/** Buffers chunks and returns complete messages, each with its type byte and length field. */
 export class FrameSplitter {
   #pending: Buffer = Buffer.alloc(0);
 
-  /** @param maxFrameBytes - largest message accepted, in bytes */
+  /** @param maxFrameBytes - maximum value of the length field, in bytes */
   constructor(private readonly maxFrameBytes: number) {}
 
-  /** Bytes held back because their message is not complete. */
+  /** Number of buffered bytes, which belong to an incomplete message. */
   get pendingBytes(): number {
     return this.#pending.length;
   }
--- a/src/wire/frontend-messages.ts
+++ b/src/wire/frontend-messages.ts
@@ -1,5 +1,5 @@
 /**
- * Reads and rewrites the messages that a client sends (PostgreSQL protocol, version 3).
+ * Decodes and re-encodes the messages that a client sends (PostgreSQL protocol, version 3).
  *
  * @packageDocumentation
  */
@@ -16,11 +16,11 @@
 export interface ParseMessage {
   readonly name: string;
   readonly text: string;
-  /** The part after the text: the parameter types as sent. */
+  /** The encoded parameter types, which follow the text. */
   readonly typesPart: Buffer;
 }
 
-/** Thrown when a message body does not have the form its type demands. */
+/** Thrown when a message body does not have the format of its type. */
 export class MessageFormatError extends Error {}
 
 function readCString(frame: Buffer, offset: number): { readonly value: string; readonly end: number } {
@@ -65,7 +65,7 @@
   return readCString(frame, readCString(frame, 5).end).value;
 }
 
-/** Returns the Bind message with another statement name. */
+/** Returns a copy of the Bind message with another statement name. */
 export function renameBindStatement(frame: Buffer, statement: string): Buffer {
   const portal = readCString(frame, 5);
   const oldStatement = readCString(frame, portal.end);
@@ -77,20 +77,20 @@
   );
 }
 
-/** Kind and name in a Describe or Close message. */
-export interface ObjectReference {
+/** The prepared statement or portal that a Describe or Close message names. */
+export interface DescribeOrCloseTarget {
   readonly kind: 'statement' | 'portal';
   readonly name: string;
 }
 
 /** Reads a Describe or Close message. */
-export function readObjectReference(frame: Buffer): ObjectReference {
+export function readObjectReference(frame: Buffer): DescribeOrCloseTarget {
   const kind = frame[5] === 0x53 ? 'statement' : 'portal';
   return { kind, name: readCString(frame, 6).value };
 }
 
 /** Builds a Describe or Close message. */
-export function buildObjectMessage(type: number, reference: ObjectReference): Buffer {
+export function buildObjectMessage(type: number, reference: DescribeOrCloseTarget): Buffer {
   const kind = Buffer.from(reference.kind === 'statement' ? 'S' : 'P');
   return buildMessage(type, kind, cstring(reference.name));
 }
--- a/src/wire/message-builder.ts
+++ b/src/wire/message-builder.ts
@@ -1,5 +1,5 @@
 /**
- * Puts protocol messages together.
+ * Encodes protocol messages.
  *
  * @packageDocumentation
  */
@@ -7,7 +7,7 @@
 const HEADER_BYTES = 5;
 const LENGTH_FIELD_BYTES = 4;
 
-/** A message from its type byte and the parts of its body. */
+/** Builds a message from its type byte and the parts of its body. */
 export function buildMessage(type: number, ...parts: Buffer[]): Buffer {
   const body = Buffer.concat(parts);
   const header = Buffer.allocUnsafe(HEADER_BYTES);
@@ -16,7 +16,9 @@
   return Buffer.concat([header, body]);
 }
 
-/** A string with its terminator; a terminator inside would end it early, so it is left out. */
+/**
+ * Encodes a null-terminated string; null characters inside the text are removed, as they would end it early.
+ */
 export function cstring(text: string): Buffer {
   return Buffer.from(`${text.replaceAll('\0', '')}\0`, 'utf8');
 }
--- a/src/wire/message-types.ts
+++ b/src/wire/message-types.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-/** Messages sent by clients. */
+/** Type bytes of the messages that clients send. */
 export const FrontendType = {
   bind: 0x42,
   close: 0x43,
@@ -21,7 +21,7 @@
   copyFail: 0x66,
 } as const;
 
-/** Messages sent by servers. */
+/** Type bytes of the messages that servers send. */
 export const BackendType = {
   authentication: 0x52,
   backendKeyData: 0x4b,
@@ -55,7 +55,7 @@
 /** Transaction status in ReadyForQuery: idle, in a transaction, in a failed transaction. */
 export type TransactionStatus = 'I' | 'T' | 'E';
 
-/** Reads the status byte of a ReadyForQuery message. */
+/** Reads the status byte of a ReadyForQuery message; an unknown value counts as a failed transaction. */
 export function readTransactionStatus(frame: Buffer): TransactionStatus {
   const status = String.fromCharCode(frame[5] ?? 0x45);
   return status === 'I' || status === 'T' ? status : 'E';
