--- a/src/entry/owner-reachability.ts
+++ b/src/entry/owner-reachability.ts
@@ -1,15 +1,19 @@
 /**
- * Remembers for which databases no owner has answered for a while, so that requests are refused at once instead of
- * waiting for their deadlines. Pure: the caller passes the time.
+ * Circuit breaker for each database: when no owner has responded for a while, requests are rejected
+ * immediately instead of waiting for their deadlines. Performs no I/O and reads no clock: the caller passes
+ * the time.
  *
  * @packageDocumentation
  */
 
 /** Settings; times in milliseconds. */
 export interface OwnerReachabilityOptions {
-  /** Time without an answer after which requests are refused at once; longer than a change of owner takes. */
+  /**
+   * Time without a response after which requests are rejected immediately; longer than a change of owner
+   * takes.
+   */
   readonly giveUpAfterMs: number;
-  /** Time between requests that are let through to find out whether an owner is back. */
+  /** Time between requests that are let through to probe whether an owner is reachable again. */
   readonly probeIntervalMs: number;
 }
 
@@ -18,34 +22,34 @@
   nextProbeMs: number;
 }
 
-/** Outages by database. */
+/** Tracks the outages by database. */
 export class OwnerReachability {
   readonly #outages = new Map<string, Outage>();
 
   constructor(private readonly options: OwnerReachabilityOptions) {}
 
-  /** True when a request may look for an owner. */
+  /** True when a request may search for an owner: no long outage is known, or a probe is due. */
   mayTry(database: string, nowMs: number): boolean {
     const outage = this.#outages.get(database);
-    if (outage === undefined || !this.#isLong(outage, nowMs)) return true;
+    if (outage === undefined || !this.#isOpen(outage, nowMs)) return true;
     if (nowMs < outage.nextProbeMs) return false;
     outage.nextProbeMs = nowMs + this.options.probeIntervalMs;
     return true;
   }
 
-  /** Records that no target was the owner; true when there is no use in waiting on. */
+  /** Records that no target was the owner; returns true when the search should be abandoned. */
   recordFailure(database: string, nowMs: number): boolean {
     const outage = this.#outages.get(database) ?? { sinceMs: nowMs, nextProbeMs: 0 };
     this.#outages.set(database, outage);
-    return this.#isLong(outage, nowMs);
+    return this.#isOpen(outage, nowMs);
   }
 
-  /** Records that an owner has answered. */
+  /** Records that an owner has responded, which ends the outage. */
   recordSuccess(database: string): void {
     this.#outages.delete(database);
   }
 
-  #isLong(outage: Outage, nowMs: number): boolean {
+  #isOpen(outage: Outage, nowMs: number): boolean {
     return nowMs - outage.sinceMs >= this.options.giveUpAfterMs;
   }
 }
--- a/src/entry/pause-detector.test.ts
+++ b/src/entry/pause-detector.test.ts
@@ -1,5 +1,5 @@
 /**
- * What is read after a pause, in every order of timers and reads.
+ * Classification of input read after a pause of the process, in different orders of timers and reads.
  *
  * @packageDocumentation
  */
@@ -9,26 +9,26 @@
 
 const OPTIONS = { thresholdMs: 1000, windowMs: 250 };
 
-test('what is read right after a pause may be old', () => {
-  const pauses = new PauseDetector(OPTIONS, 0);
-  assert.equal(pauses.tick(100), false);
-  assert.equal(pauses.tick(2000), true);
+test('input read right after a pause may predate it', () => {
+  const detector = new PauseDetector(OPTIONS, 0);
+  assert.equal(detector.tick(100), false);
+  assert.equal(detector.tick(2000), true);
 });
 
-test('what the first pass after a pause reads may be old, however long that pass takes', () => {
-  const pauses = new PauseDetector(OPTIONS, 0);
-  // A timer notices the pause; the machine is busy, so the first socket is read only 600 ms later.
-  assert.equal(pauses.tick(2000), true);
-  assert.equal(pauses.tick(2600), true);
-  assert.equal(pauses.passed(), true);
-  assert.equal(pauses.tick(2700), true);
-  assert.equal(pauses.passed(), false);
-  assert.equal(pauses.tick(2800), false);
+test('input of the first iteration after a pause may predate it, however long that iteration takes', () => {
+  const detector = new PauseDetector(OPTIONS, 0);
+  // A timer detects the pause; because the machine is busy, the first socket is read only 600 ms later.
+  assert.equal(detector.tick(2000), true);
+  assert.equal(detector.tick(2600), true);
+  assert.equal(detector.passed(), true);
+  assert.equal(detector.tick(2700), true);
+  assert.equal(detector.passed(), false);
+  assert.equal(detector.tick(2800), false);
 });
 
-test('a request taken before a pause is told from one taken after it', () => {
-  const pauses = new PauseDetector(OPTIONS, 0);
-  assert.equal(pauses.hasPausedSince(50, 100), false);
-  assert.equal(pauses.hasPausedSince(50, 2000), true);
-  assert.equal(pauses.hasPausedSince(2100, 2200), false);
+test('a request received before a pause is distinguished from one received after it', () => {
+  const detector = new PauseDetector(OPTIONS, 0);
+  assert.equal(detector.hasPausedSince(50, 100), false);
+  assert.equal(detector.hasPausedSince(50, 2000), true);
+  assert.equal(detector.hasPausedSince(2100, 2200), false);
 });
--- a/src/entry/pause-detector.ts
+++ b/src/entry/pause-detector.ts
@@ -1,8 +1,10 @@
 /**
- * Notices that the process was paused. Pure: the caller passes the time.
+ * Detects that the process was paused, that is stopped or not scheduled. Performs no I/O and reads no clock: the
+ * caller passes the time.
  *
- * What a resumed daemon reads first may have waited in a socket for the whole pause: its client may have given
- * up, and may have written something newer through another daemon since. Running it late would undo that.
+ * The first input that a resumed daemon reads may have waited in a socket during the whole pause. Its client
+ * may have given up and written a newer value through another daemon; running the old request late would undo
+ * that.
  *
  * @packageDocumentation
  */
@@ -11,27 +13,28 @@
 export interface PauseDetectorOptions {
   /** Time between two calls of {@link PauseDetector.tick} that counts as a pause. */
   readonly thresholdMs: number;
-  /** Time after a pause in which what is read may be old. */
+  /** Time after a pause during which input may predate the pause. */
   readonly windowMs: number;
 }
 
 /**
- * Passes of the event loop after a pause in which what is read may be old. In the first, everything that had arrived
- * is read; the pause may be noticed in the middle of one.
+ * Event-loop iterations after a pause during which input may predate the pause. One iteration reads everything
+ * that had arrived before; two are counted because the pause may be detected in the middle of an iteration.
  */
-const OLD_PASSES = 2;
+const ITERATIONS_AFTER_PAUSE = 2;
 
 /**
- * Compares the times at which it is called; something has to call it regularly.
+ * Detects a pause from the time between two calls of {@link PauseDetector.tick}, which must be called
+ * regularly.
  *
- * On a busy machine the first pass of the event loop after a pause may take longer than any window, so the passes are
- * counted as well.
+ * On a busy machine the first event-loop iteration after a pause may take longer than any time window, so the
+ * iterations are counted as well.
  */
 export class PauseDetector {
   #lastTickMs: number;
-  #suspectUntilMs = Number.NEGATIVE_INFINITY;
-  #pausedUntilMs = Number.NEGATIVE_INFINITY;
-  #oldPasses = 0;
+  #windowEndMs = Number.NEGATIVE_INFINITY;
+  #lastPauseEndMs = Number.NEGATIVE_INFINITY;
+  #iterationsLeft = 0;
 
   /** @param nowMs - monotonic time, in milliseconds */
   constructor(
@@ -41,26 +44,31 @@
     this.#lastTickMs = nowMs;
   }
 
-  /** Takes the time; true while what is read may have waited for a whole pause. */
+  /** Records the current time; returns true while input may have waited in its socket during a pause. */
   tick(nowMs: number): boolean {
     if (nowMs - this.#lastTickMs >= this.options.thresholdMs) {
-      this.#suspectUntilMs = nowMs + this.options.windowMs;
-      this.#pausedUntilMs = nowMs;
-      this.#oldPasses = OLD_PASSES;
+      this.#windowEndMs = nowMs + this.options.windowMs;
+      this.#lastPauseEndMs = nowMs;
+      this.#iterationsLeft = ITERATIONS_AFTER_PAUSE;
     }
     this.#lastTickMs = nowMs;
-    return nowMs < this.#suspectUntilMs || this.#oldPasses > 0;
+    return nowMs < this.#windowEndMs || this.#iterationsLeft > 0;
   }
 
-  /** The event loop has read all that had arrived when its pass began; true while another pass has to be awaited. */
+  /**
+   * Records the end of an event-loop iteration, which has read everything that had arrived when it began;
+   * returns true while another iteration has to be awaited.
+   */
   passed(): boolean {
-    if (this.#oldPasses > 0) this.#oldPasses -= 1;
-    return this.#oldPasses > 0;
+    if (this.#iterationsLeft > 0) this.#iterationsLeft -= 1;
+    return this.#iterationsLeft > 0;
   }
 
-  /** True when a pause has ended since `sinceMs`: what was taken then may have been given up by its client. */
+  /**
+   * True when a pause has ended after `sinceMs`: clients may have abandoned the requests received until then.
+   */
   hasPausedSince(sinceMs: number, nowMs: number): boolean {
     this.tick(nowMs);
-    return this.#pausedUntilMs > sinceMs;
+    return this.#lastPauseEndMs > sinceMs;
   }
 }
--- a/src/entry/request-router.test.ts
+++ b/src/entry/request-router.test.ts
@@ -1,5 +1,6 @@
 /**
- * Verdicts of requests that are sent more than once.
+ * Verdicts of requests that are forwarded more than once, that find no owner, or that wait during a pause of
+ * the process.
  *
  * @packageDocumentation
  */
@@ -31,19 +32,26 @@
   remainingMs: null,
 };
 
-type Answer = 'lost' | 'notOwner';
+type Outcome = 'lost' | 'notOwner';
 
-function target(daemonId: string, answer: Answer): RequestTarget {
+function target(daemonId: string, outcome: Outcome): RequestTarget {
   return {
     daemonId,
-    forward: (_request, sink) => (answer === 'lost' ? sink.lost() : sink.notOwner()),
+    forward: (_request, sink) => (outcome === 'lost' ? sink.lost() : sink.notOwner()),
     closeStream: () => undefined,
     cancel: () => undefined,
   };
 }
 
-/** Routes a request whose first attempt is answered in one way and all others in another. */
-async function routeAndFail(first: Answer, others: Answer, request: StatementRequest): Promise<RequestError> {
+/**
+ * Routes a request whose first attempt has the outcome `first` and whose later attempts have the outcome
+ * `others`.
+ */
+async function routeAndFail(
+  first: Outcome,
+  others: Outcome,
+  request: StatementRequest,
+): Promise<RequestError> {
   let attempts = 0;
   const router = new RequestRouter({
     targets: () => [target('d1', attempts++ === 0 ? first : others)],
@@ -73,13 +81,13 @@
   assert.equal(error.verdict, 'may_have_run');
 });
 
-test('a write that may not repeat is not sent again', async () => {
+test('a write that is not repeatable is not retried', async () => {
   const error = await routeAndFail('lost', 'lost', { ...REQUEST, onceKey: null });
   assert.equal(error.verdict, 'may_have_run');
   assert.equal(error.sqlState, '40003');
 });
 
-test('a statement of an open transaction that was lost is rolled back: not run', async () => {
+test('a statement of an open transaction whose daemon was lost is reported as not run', async () => {
   const router = new RequestRouter({
     targets: () => [],
     decide: () => DEFAULT_DECISION,
@@ -101,13 +109,14 @@
   assert.equal(failure.status, 'E');
 });
 
-test('a request that waited while the process was paused is begun nowhere', async () => {
+test('a request that waited while the process was paused is not started on any daemon', async () => {
   let hasPaused = false;
-  const begun: string[] = [];
+  const startedOn: string[] = [];
   const first: RequestTarget = {
     ...target('d1', 'notOwner'),
     forward: (_request, sink) => {
-      // The process is paused while its own engine has the request; when it goes on, another daemon owns the database.
+      // The process is paused while the local engine has the request; afterwards another daemon owns the
+      // database.
       hasPaused = true;
       sink.notOwner();
     },
@@ -115,7 +124,7 @@
   const second: RequestTarget = {
     ...target('d2', 'notOwner'),
     forward: (_request, sink) => {
-      begun.push('d2');
+      startedOn.push('d2');
       sink.end('I');
     },
   };
@@ -128,25 +137,25 @@
   const error = await new Promise<RequestError>((resolve, reject) => {
     const sink = {
       data: () => undefined,
-      end: () => reject(new Error('begun')),
+      end: () => reject(new Error('started')),
       fail: resolve,
       notOwner: () => reject(new Error('not owner')),
     };
     void router.route(REQUEST, 'I', { target: null }, new CancelSignal(), sink);
   });
-  assert.deepEqual(begun, []);
+  assert.deepEqual(startedOn, []);
   assert.equal(error.verdict, 'not_run');
 });
 
-test('a target is told that a request is awaited no longer once the process has been paused', async () => {
+test('isAwaited returns false once the process has been paused', async () => {
   let hasPaused = false;
-  const answers: boolean[] = [];
+  const results: boolean[] = [];
   const only: RequestTarget = {
     ...target('d1', 'notOwner'),
     forward: (_request, sink, isAwaited) => {
-      answers.push(isAwaited());
+      results.push(isAwaited());
       hasPaused = true;
-      answers.push(isAwaited());
+      results.push(isAwaited());
       sink.end('I');
     },
   };
@@ -160,5 +169,5 @@
     const sink = { data: () => undefined, end: () => resolve(), fail: reject, notOwner: reject };
     void router.route(REQUEST, 'I', { target: null }, new CancelSignal(), sink);
   });
-  assert.deepEqual(answers, [true, false]);
+  assert.deepEqual(results, [true, false]);
 });
--- a/src/entry/request-router.ts
+++ b/src/entry/request-router.ts
@@ -1,5 +1,5 @@
 /**
- * Brings a request to the daemon that owns its database: this one, or another over a link.
+ * Routes each request to the daemon that owns its database: this daemon, or another over a peer link.
  *
  * @packageDocumentation
  */
@@ -17,18 +17,21 @@
 /** Sends requests to one daemon. */
 export interface RequestTarget {
   readonly daemonId: string;
-  /** @param isAwaited - asked right before the request is begun; it must not be when this says false */
+  /** @param isAwaited - called right before the request is started; on `false` it must not be started */
   forward(request: StatementRequest, sink: AnswerSink & { lost(): void }, isAwaited: () => boolean): void;
   closeStream(database: string, streamId: string): void;
   cancel(database: string, streamId: string): void;
 }
 
-/** What the router asks of its daemon. */
-export interface RequestRouterPorts {
-  /** Daemons to try for a database, most likely owner first. */
+/** What the router needs from the daemon. */
+export interface RequestRouterDependencies {
+  /** Daemons to try for a database, the most likely owner first. */
   targets(database: string): readonly RequestTarget[];
   decide(request: StatementRequest): PolicyDecision;
-  /** True when this process was paused since then (monotonic, in milliseconds): clients may have given up meanwhile. */
+  /**
+   * True when this process was paused after `sinceMs` (monotonic, in milliseconds): clients may have given up
+   * in the meantime.
+   */
   hasPausedSince(sinceMs: number): boolean;
   readonly random: () => number;
 }
@@ -38,11 +41,11 @@
   target: RequestTarget | null;
 }
 
-const SEARCH_BACKOFF = { initialDelayMs: 10, maxDelayMs: 100 };
-const RETRY_AFTER_SEARCH_MS = 500;
-const PAUSED = 'the daemon was paused while the request waited';
+const OWNER_SEARCH_BACKOFF = { initialDelayMs: 10, maxDelayMs: 100 };
+const RETRY_AFTER_NO_OWNER_MS = 500;
+const PAUSED_MESSAGE = 'the daemon was paused while the request waited';
 
-interface Routing {
+interface RoutingState {
   readonly request: StatementRequest;
   readonly binding: StreamBinding;
   sink: AnswerSink;
@@ -54,18 +57,18 @@
   attempts: number;
 }
 
-/** How an attempt at one target ended. */
-type RouteOutcome = 'settled' | 'notOwner' | 'mayRetry';
+/** Outcome of forwarding a request to one target. */
+type AttemptOutcome = 'settled' | 'notOwner' | 'mayRetry';
 
-/** Routes requests and searches for owners. */
+/** Routes requests, and searches for the owner where it is not known. */
 export class RequestRouter {
   readonly #retryBudget = new RetryBudget({ retriesPerRequest: 0.1, maxSaved: 100 });
-  readonly #reachability = new OwnerReachability({ giveUpAfterMs: 5000, probeIntervalMs: 250 });
+  readonly #circuitBreaker = new OwnerReachability({ giveUpAfterMs: 5000, probeIntervalMs: 250 });
 
-  constructor(private readonly ports: RequestRouterPorts) {}
+  constructor(private readonly dependencies: RequestRouterDependencies) {}
 
   /**
-   * Routes a request; the sink hears exactly one end and never `notOwner`.
+   * Routes a request. The sink receives exactly one `end` or `fail`, and never `notOwner`.
    *
    * @param status - transaction status of the client connection
    */
@@ -76,9 +79,9 @@
     signal: CancelSignal,
     sink: AnswerSink,
   ): Promise<void> {
-    const decision = this.ports.decide(request);
+    const decision = this.dependencies.decide(request);
     const routedAtMs = performance.now();
-    const routing: Routing = {
+    const routing: RoutingState = {
       request,
       binding,
       sink,
@@ -90,11 +93,11 @@
       attempts: 0,
     };
     this.#retryBudget.recordRequest();
-    if (binding.target !== null) await this.#routeBound(routing, binding.target);
-    else await this.#search(routing);
+    if (binding.target !== null) await this.#forwardToBoundTarget(routing, binding.target);
+    else await this.#searchForOwner(routing);
   }
 
-  async #routeBound(routing: Routing, target: RequestTarget): Promise<void> {
+  async #forwardToBoundTarget(routing: RoutingState, target: RequestTarget): Promise<void> {
     const outcome = await this.#attempt(routing, target);
     if (outcome === 'settled') return;
     routing.binding.target = null;
@@ -107,44 +110,52 @@
     routing.sink.fail(error, routing.isInTransaction ? 'E' : 'I');
   }
 
-  async #search(routing: Routing): Promise<void> {
+  async #searchForOwner(routing: RoutingState): Promise<void> {
     const { database } = routing.request;
-    if (!this.#reachability.mayTry(database, performance.now())) {
+    if (!this.#circuitBreaker.mayTry(database, performance.now())) {
       const message = 'no owner of the database has been in reach for a while; try another daemon';
-      this.#giveUp(routing, SqlState.cannotConnectNow, message, RETRY_AFTER_SEARCH_MS);
+      this.#failNotRun(routing, SqlState.cannotConnectNow, message, RETRY_AFTER_NO_OWNER_MS);
       return;
     }
     while (performance.now() < routing.deadlineMs && !routing.signal.isCanceled) {
-      for (const target of this.ports.targets(database)) {
+      for (const target of this.dependencies.targets(database)) {
         if (!this.#isAwaited(routing)) {
-          this.#giveUp(routing, SqlState.cannotConnectNow, PAUSED, 0);
+          this.#failNotRun(routing, SqlState.cannotConnectNow, PAUSED_MESSAGE, 0);
           return;
         }
         const outcome = await this.#attempt(routing, target);
         if (outcome === 'settled') return;
       }
-      if (this.#reachability.recordFailure(database, performance.now())) break;
-      const waitMs = backoffDelayMs(SEARCH_BACKOFF, routing.attempts++, this.ports.random());
+      if (this.#circuitBreaker.recordFailure(database, performance.now())) break;
+      const waitMs = backoffDelayMs(OWNER_SEARCH_BACKOFF, routing.attempts++, this.dependencies.random());
       await new Promise((resolve) => setTimeout(resolve, waitMs));
     }
     if (routing.signal.isCanceled) {
-      this.#giveUp(routing, SqlState.queryCanceled, 'canceled before it was run', null);
+      this.#failNotRun(routing, SqlState.queryCanceled, 'canceled before it was run', null);
       return;
     }
     const message = 'no daemon that owns the database could be reached in time';
-    this.#giveUp(routing, SqlState.cannotConnectNow, message, RETRY_AFTER_SEARCH_MS);
+    this.#failNotRun(routing, SqlState.cannotConnectNow, message, RETRY_AFTER_NO_OWNER_MS);
   }
 
-  /** False when the client may have given up while this process was paused, and written something newer elsewhere. */
-  #isAwaited({ routedAtMs }: Routing): boolean {
-    return !this.ports.hasPausedSince(routedAtMs);
+  /**
+   * False when the process was paused after the request was received: the client may have given up and
+   * written a newer value through another daemon.
+   */
+  #isAwaited({ routedAtMs }: RoutingState): boolean {
+    return !this.dependencies.hasPausedSince(routedAtMs);
   }
 
-  #giveUp(routing: Routing, sqlState: SqlStateCode, message: string, retryAfterMs: number | null): void {
+  #failNotRun(
+    routing: RoutingState,
+    sqlState: SqlStateCode,
+    message: string,
+    retryAfterMs: number | null,
+  ): void {
     routing.sink.fail(new RequestError(sqlState, 'not_run', message, retryAfterMs), 'I');
   }
 
-  #attempt(routing: Routing, target: RequestTarget): Promise<RouteOutcome> {
+  #attempt(routing: RoutingState, target: RequestTarget): Promise<AttemptOutcome> {
     const { request, binding, sink } = routing;
     let hasSentData = false;
     return new Promise((resolve) => {
@@ -158,13 +169,13 @@
             sink.data(frames);
           },
           end: (status) => {
-            this.#reachability.recordSuccess(request.database);
+            this.#circuitBreaker.recordSuccess(request.database);
             if (status === 'I' && request.terminator !== 'flush') binding.target = null;
             sink.end(status);
             resolve('settled');
           },
           fail: (error, status) => {
-            this.#reachability.recordSuccess(request.database);
+            this.#circuitBreaker.recordSuccess(request.database);
             if (status === 'I' || error.endsTransaction) binding.target = null;
             sink.fail(error, status);
             resolve('settled');
@@ -173,14 +184,14 @@
             binding.target = null;
             resolve('notOwner');
           },
-          lost: () => resolve(this.#handleLost(routing, hasSentData)),
+          lost: () => resolve(this.#handleLostTarget(routing, hasSentData)),
         },
         () => this.#isAwaited(routing),
       );
     });
   }
 
-  #handleLost(routing: Routing, hasSentData: boolean): RouteOutcome {
+  #handleLostTarget(routing: RoutingState, hasSentData: boolean): AttemptOutcome {
     const { request, binding, sink, decision } = routing;
     binding.target = null;
     const judgement = judgeLoss(
