--- a/src/entry/pause-detector.ts
+++ b/src/entry/pause-detector.ts
@@ -1,6 +1,6 @@
 /**
- * Detects that the process was paused, that is stopped or not scheduled. Performs no I/O and reads no clock: the
- * caller passes the time.
+ * Detects that the process was paused, that is stopped or not scheduled. Performs no I/O and reads no clock:
+ * the caller passes the time.
  *
  * The first input that a resumed daemon reads may have waited in a socket during the whole pause. Its client
  * may have given up and written a newer value through another daemon; running the old request late would undo
@@ -18,8 +18,9 @@
 }
 
 /**
- * Event-loop iterations after a pause during which input may predate the pause. One iteration reads everything
- * that had arrived before; two are counted because the pause may be detected in the middle of an iteration.
+ * Event-loop iterations after a pause during which input may predate the pause. One iteration reads
+ * everything that had arrived before; two are counted because the pause may be detected in the middle of an
+ * iteration.
  */
 const ITERATIONS_AFTER_PAUSE = 2;
 
