--- a/src/entry/client-connection.test.ts
+++ b/src/entry/client-connection.test.ts
@@ -1,10 +1,11 @@
 /**
- * What a client is told whose connection is ended at the end of a drain.
+ * The error sent to a client whose connection the daemon closes, at the end of a drain or after invalid
+ * input.
  *
- * Users were told "the daemon is stopping" with the verdict `not_run` for a write that was then found to be kept: the drain was
- * over before the owner's answer came, and the goodbye was the same whether something ran or not.
- *
- * Evidence: `FATAL 57P01 verdict=not_run` as the only answer to a request that had been handed to the owner.
+ * Guards against a false `not_run` verdict: the drain ended before the owner responded, and the client
+ * received `FATAL 57P01 verdict=not_run` ("the daemon is stopping") as the only response to a write that had
+ * been forwarded to the owner and was then found to be committed. The error was the same whether or not a
+ * request was running.
  */
 import assert from 'node:assert/strict';
 import { createServer, type Server, type AddressInfo } from 'node:net';
@@ -30,13 +31,13 @@
 let server: Server;
 let client: RawClient;
 let connection: ClientConnection;
-let mayReadBeOld: boolean;
-/** Requests that the owner has been handed, and where their answers go. */
+let mayInputPredatePause: boolean;
+/** Requests that were forwarded to the owner, and the sinks for their responses. */
 let forwarded: { readonly request: StatementRequest; readonly sink: AnswerSink }[];
 
 beforeEach(async () => {
   forwarded = [];
-  mayReadBeOld = false;
+  mayInputPredatePause = false;
   const owner = {
     daemonId: 'owner',
     forward: (request: StatementRequest, sink: AnswerSink) => void forwarded.push({ request, sink }),
@@ -61,7 +62,7 @@
       router,
       maxRequestBytes: 1e6,
       maxUnreadBytes: 1e6,
-      mayReadBeOld: () => mayReadBeOld,
+      mayInputPredatePause: () => mayInputPredatePause,
       onClosed: () => undefined,
     });
   });
@@ -73,24 +74,26 @@
   server.close();
 });
 
-/** Asks, and waits until the owner has the request. */
-async function ask(text: string): Promise<AnswerSink> {
+/** Sends a query and waits until it was forwarded to the owner. */
+async function sendQuery(text: string): Promise<AnswerSink> {
   const count = forwarded.length;
   client.socket.write(serialize.query(text));
-  await waitUntil('the owner to be asked', () => forwarded.length > count);
+  await waitUntil('the owner to receive the request', () => forwarded.length > count);
   const sink = forwarded.at(-1)?.sink;
   assert.ok(sink !== undefined);
   return sink;
 }
 
-/** The verdict of the goodbye at the end of a drain. */
-function goodbye(): Promise<string | null> {
+/**
+ * Closes the connection as at the end of a drain, and returns the verdict of the error sent to the client.
+ */
+function closingVerdict(): Promise<string | null> {
   connection.closeNow();
-  return verdictAtEnd('57P01');
+  return fatalVerdict('57P01');
 }
 
-/** The verdict of the only error, which ended the connection. */
-async function verdictAtEnd(sqlState: string): Promise<string | null> {
+/** Waits until the connection is closed, and returns the verdict of its FATAL error. */
+async function fatalVerdict(sqlState: string): Promise<string | null> {
   await client.waitForClose();
   const [frame] = client.ofType('E');
   assert.equal(errorField(frame, 'S'), 'FATAL');
@@ -98,61 +101,61 @@
   return errorField(frame, 'D');
 }
 
-test('a write that runs may have run', async () => {
-  await ask("INSERT INTO record VALUES ('k', 1, 'v')");
-  assert.equal(await goodbye(), 'verdict=may_have_run');
+test('a running write may have run when the connection is closed', async () => {
+  await sendQuery("INSERT INTO record VALUES ('k', 1, 'v')");
+  assert.equal(await closingVerdict(), 'verdict=may_have_run');
 });
 
-test('so may a commit', async () => {
-  (await ask('BEGIN')).end('T');
-  await ask('COMMIT');
-  assert.equal(await goodbye(), 'verdict=may_have_run');
+test('a running commit may have run when the connection is closed', async () => {
+  (await sendQuery('BEGIN')).end('T');
+  await sendQuery('COMMIT');
+  assert.equal(await closingVerdict(), 'verdict=may_have_run');
 });
 
-test('so may a write with another that waits behind it', async () => {
-  await ask("INSERT INTO record VALUES ('k', 1, 'v')");
+test('a running write with another write queued behind it may have run', async () => {
+  await sendQuery("INSERT INTO record VALUES ('k', 1, 'v')");
   client.socket.write(serialize.query("INSERT INTO record VALUES ('l', 1, 'v')"));
   await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.equal(await goodbye(), 'verdict=may_have_run');
-  assert.equal(forwarded.length, 1, 'what waits is not run');
+  assert.equal(await closingVerdict(), 'verdict=may_have_run');
+  assert.equal(forwarded.length, 1, 'the queued write is not run');
 });
 
-test('a write inside a transaction is rolled back: nothing of it is kept', async () => {
-  (await ask('BEGIN')).end('T');
-  await ask("INSERT INTO record VALUES ('k', 1, 'v')");
-  assert.equal(await goodbye(), 'verdict=not_run');
+test('a running write inside a transaction is rolled back and reported as not run', async () => {
+  (await sendQuery('BEGIN')).end('T');
+  await sendQuery("INSERT INTO record VALUES ('k', 1, 'v')");
+  assert.equal(await closingVerdict(), 'verdict=not_run');
 });
 
-test('nothing of a transaction that rests is kept', async () => {
-  (await ask('BEGIN')).end('T');
+test('an idle transaction is rolled back and reported as not run', async () => {
+  (await sendQuery('BEGIN')).end('T');
   await client.waitForType('Z', 1);
-  assert.equal(await goodbye(), 'verdict=not_run');
+  assert.equal(await closingVerdict(), 'verdict=not_run');
 });
 
-test('a connection that was answered is told that nothing was run', async () => {
-  (await ask("INSERT INTO record VALUES ('k', 1, 'v')")).end('I');
+test('a connection without a running request is reported as not run', async () => {
+  (await sendQuery("INSERT INTO record VALUES ('k', 1, 'v')")).end('I');
   await client.waitForType('Z', 1);
-  assert.equal(await goodbye(), 'verdict=not_run');
+  assert.equal(await closingVerdict(), 'verdict=not_run');
 });
 
-test('a write that runs as its client sends what is no message may have run', async () => {
-  await ask("INSERT INTO record VALUES ('k', 1, 'v')");
+test('a running write may have run when its client sends a malformed message', async () => {
+  await sendQuery("INSERT INTO record VALUES ('k', 1, 'v')");
   client.socket.write(Buffer.from([0, 0, 0, 0, 4]));
-  assert.equal(await verdictAtEnd('08P01'), 'verdict=may_have_run');
+  assert.equal(await fatalVerdict('08P01'), 'verdict=may_have_run');
 });
 
-test('so may one that runs as its client is read after a pause', async () => {
-  await ask("INSERT INTO record VALUES ('k', 1, 'v')");
-  mayReadBeOld = true;
+test('a running write may have run when its client sends input that may predate a pause', async () => {
+  await sendQuery("INSERT INTO record VALUES ('k', 1, 'v')");
+  mayInputPredatePause = true;
   client.socket.write(serialize.query("INSERT INTO record VALUES ('l', 1, 'v')"));
-  assert.equal(await verdictAtEnd('57P01'), 'verdict=may_have_run');
+  assert.equal(await fatalVerdict('57P01'), 'verdict=may_have_run');
 });
 
 /*
- * Users' batches were cut between their Flush and their Sync the moment a daemon began to drain: what was answered up to the
- * Flush counted as all there was.
+ * Guards against closing a connection between the Flush and the Sync of a batch as soon as a drain begins:
+ * the response up to the Flush was taken for the complete response.
  */
-test('a drain waits for the Sync of a batch that was answered up to a Flush', async () => {
+test('a drain waits for the Sync of a batch whose response up to a Flush is complete', async () => {
   client.socket.write(
     Buffer.concat([
       serialize.parse({ text: "INSERT INTO record VALUES ('k', 1, 'v')" }),
@@ -161,15 +164,15 @@
       serialize.flush(),
     ]),
   );
-  await waitUntil('the owner to be asked', () => forwarded.length === 1);
+  await waitUntil('the owner to receive the request', () => forwarded.length === 1);
   forwarded[0]?.sink.end('I');
   await new Promise((resolve) => setImmediate(resolve));
   connection.closeWhenIdle();
   await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.equal(client.ofType('E').length, 0, 'no goodbye yet');
+  assert.equal(client.ofType('E').length, 0, 'the connection is still open');
   client.socket.write(serialize.sync());
-  await waitUntil('the owner to be asked', () => forwarded.length === 2);
+  await waitUntil('the owner to receive the request', () => forwarded.length === 2);
   forwarded[1]?.sink.end('I');
   await client.waitForClose();
-  assert.equal(client.ofType('Z').length, 1, 'the batch is answered to its end');
+  assert.equal(client.ofType('Z').length, 1, 'the response to the whole batch is complete');
 });
--- a/src/entry/client-connection.ts
+++ b/src/entry/client-connection.ts
@@ -1,5 +1,5 @@
 /**
- * One client's connection to this daemon, after start-up.
+ * A client's connection to this daemon, after start-up.
  *
  * @packageDocumentation
  */
@@ -13,11 +13,11 @@
 import { CorkedWriter } from '../wire/corked-writer.js';
 import { FrameError, FrameSplitter } from '../wire/frame-splitter.js';
 import { FrontendType, type TransactionStatus } from '../wire/message-types.js';
-import { answerRollback } from './lost-transaction.js';
+import { rollbackResponse } from './lost-transaction.js';
 import { RequestBuilder, TooManyStatementsError, type ClientRequest } from './request-builder.js';
 import type { RequestRouter, StreamBinding } from './request-router.js';
 
-/** Who the client is. */
+/** Identity of a client and its connection. */
 export interface ClientIdentity {
   readonly streamId: string;
   readonly database: string;
@@ -30,46 +30,50 @@
   readonly identity: ClientIdentity;
   readonly zone: string;
   readonly router: RequestRouter;
-  /** Largest request, in bytes. */
+  /** Maximum size of a request, in bytes. */
   readonly maxRequestBytes: number;
-  /** Most bytes of answers that wait for a client that does not read. */
+  /** Maximum size of the responses buffered for a client that does not read them, in bytes. */
   readonly maxUnreadBytes: number;
-  /** True while what is read may have waited for a pause of the whole process. */
-  readonly mayReadBeOld: () => boolean;
+  /** Returns true while input may have waited in its socket during a pause of the whole process. */
+  readonly mayInputPredatePause: () => boolean;
   readonly onClosed: () => void;
 }
 
-/** What a client is told as its connection ends while none of its requests runs. */
-const STOPPING = new RequestError(SqlState.adminShutdown, 'not_run', 'the daemon is stopping', 0);
-const MAX_SETTINGS = 100;
-/** Requests that a client may send ahead before its connection is no longer read. */
+/** Sent when the daemon closes a connection to stop; its verdict holds only while no request runs. */
+const SHUTDOWN_ERROR = new RequestError(SqlState.adminShutdown, 'not_run', 'the daemon is stopping', 0);
+const MAX_SESSION_SETTINGS = 100;
+/** Number of pipelined requests above which the daemon stops reading from the connection. */
 const MAX_QUEUED_REQUESTS = 1000;
 
 const KNOWN_TYPES: ReadonlySet<number> = new Set(Object.values(FrontendType));
-const TERMINATORS: ReadonlySet<number> = new Set([FrontendType.query, FrontendType.sync, FrontendType.flush]);
+const TERMINATOR_TYPES: ReadonlySet<number> = new Set([
+  FrontendType.query,
+  FrontendType.sync,
+  FrontendType.flush,
+]);
 
-/** Reads requests, has them run one after the other, and writes the answers in order. */
+/** Reads pipelined requests, runs them one at a time, and writes the responses in order. */
 export class ClientConnection {
   readonly #splitter: FrameSplitter;
   readonly #writer: CorkedWriter;
-  readonly #builder: RequestBuilder;
+  readonly #requestBuilder: RequestBuilder;
   readonly #binding: StreamBinding = { target: null };
   readonly #queue: Buffer[][] = [];
-  #batch: Buffer[] = [];
-  #batchBytes = 0;
-  #settings: string[] = [];
-  #status: TransactionStatus = 'I';
+  #pendingFrames: Buffer[] = [];
+  #pendingBytes = 0;
+  #sessionSettings: string[] = [];
+  #transactionStatus: TransactionStatus = 'I';
   #isTransactionLost = false;
   /** True between a Flush and the Sync that ends its batch. */
   #isBatchOpen = false;
-  #skipsToSync = false;
-  #isRunning = false;
-  /** The request that was handed on, and is not answered yet. */
-  #running: ClientRequest | null = null;
+  #isSkippingToSync = false;
+  #isQueueRunning = false;
+  /** The request that was passed to the router and whose response is not complete. */
+  #runningRequest: ClientRequest | null = null;
   #isClosing = false;
   #isClosed = false;
-  /** True once the client has said goodbye; what it sent before is still run. */
-  #isTerminated = false;
+  /** True once the client has sent Terminate; requests it sent before are still run. */
+  #hasReceivedTerminate = false;
   #cancelSignal = new CancelSignal();
 
   constructor(
@@ -78,117 +82,123 @@
   ) {
     this.#splitter = new FrameSplitter(options.maxRequestBytes);
     this.#writer = new CorkedWriter(socket);
-    this.#builder = new RequestBuilder(options.identity.tags);
+    this.#requestBuilder = new RequestBuilder(options.identity.tags);
     socket.on('data', (chunk: Buffer) => this.#receive(chunk));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.#handleClosed());
   }
 
-  /** True while a request runs, a transaction is open, or a batch has not been ended by its Sync. */
+  /** True while a request runs or is queued, a transaction is open, or a batch lacks its closing Sync. */
   get isBusy(): boolean {
-    const isInBatch = this.#batch.length > 0 || this.#isBatchOpen;
-    return this.#isRunning || this.#queue.length > 0 || this.#status !== 'I' || isInBatch;
+    const isInBatch = this.#pendingFrames.length > 0 || this.#isBatchOpen;
+    return this.#isQueueRunning || this.#queue.length > 0 || this.#transactionStatus !== 'I' || isInBatch;
   }
 
-  /** Cancels the request that runs now. */
+  /** Cancels the running request. */
   cancel(): void {
     this.#cancelSignal.cancel();
     this.#binding.target?.cancel(this.options.identity.database, this.options.identity.streamId);
   }
 
-  /** Ends the connection as soon as it is not busy. */
+  /** Closes the connection as soon as it is not busy. */
   closeWhenIdle(): void {
     this.#isClosing = true;
     this.#closeIfIdle();
   }
 
-  /** Ends the connection at once, with what is known of the request that runs; true when something was cut. */
+  /**
+   * Closes the connection immediately, with an error that carries the verdict of the running request, if any;
+   * returns true when the connection was busy.
+   */
   closeNow(): boolean {
     const wasBusy = this.isBusy;
-    this.#sayGoodbye();
+    this.#closeWithShutdownError();
     return wasBusy;
   }
 
   #receive(chunk: Buffer): void {
-    if (this.options.mayReadBeOld()) {
-      this.#refuseOldRequest();
+    if (this.options.mayInputPredatePause()) {
+      this.#rejectInputAfterPause();
       return;
     }
     try {
-      for (const frame of this.#splitter.push(chunk)) this.#accept(frame);
+      for (const frame of this.#splitter.push(chunk)) this.#enqueue(frame);
     } catch (error) {
-      this.#abandon(error);
+      this.#closeOnProtocolError(error);
       return;
     }
     if (this.#queue.length > MAX_QUEUED_REQUESTS) this.socket.pause();
-    if (!this.#isRunning) void this.#runQueue();
+    if (!this.#isQueueRunning) void this.#runQueue();
   }
 
-  #accept(frame: Buffer): void {
+  #enqueue(frame: Buffer): void {
     const type = frame[0] ?? 0;
     if (!KNOWN_TYPES.has(type)) throw new FrameError(`unknown message type ${type}`);
     if (type === FrontendType.terminate) {
-      this.#isTerminated = true;
+      this.#hasReceivedTerminate = true;
       return;
     }
-    this.#batch.push(frame);
-    this.#batchBytes += frame.length;
-    if (this.#batchBytes > this.options.maxRequestBytes) throw new FrameError('the request is too large');
-    if (!TERMINATORS.has(type)) return;
-    this.#queue.push(this.#batch);
-    this.#batch = [];
-    this.#batchBytes = 0;
+    this.#pendingFrames.push(frame);
+    this.#pendingBytes += frame.length;
+    if (this.#pendingBytes > this.options.maxRequestBytes) throw new FrameError('the request is too large');
+    if (!TERMINATOR_TYPES.has(type)) return;
+    this.#queue.push(this.#pendingFrames);
+    this.#pendingFrames = [];
+    this.#pendingBytes = 0;
   }
 
-  /** The client may have given the request up long ago; an open transaction is rolled back. */
-  #refuseOldRequest(): void {
+  /**
+   * Closes the connection without running the input: the client may have abandoned the request long ago. An
+   * open transaction is rolled back.
+   */
+  #rejectInputAfterPause(): void {
     const message = 'the daemon was paused and cannot tell how old the request is';
     const fatal = new RequestError(SqlState.adminShutdown, 'not_run', message, 0);
-    this.socket.end(this.#farewell(fatal));
+    this.socket.end(this.#closingError(fatal));
     this.#handleClosed();
   }
 
-  #abandon(error: unknown): void {
+  #closeOnProtocolError(error: unknown): void {
     const isKnown = error instanceof FrameError || error instanceof TooManyStatementsError;
     const message = isKnown ? error.message || 'too many prepared statements' : 'malformed message';
     const fatal = new RequestError(SqlState.protocolViolation, 'not_run', message);
-    this.socket.end(this.#farewell(fatal));
+    this.socket.end(this.#closingError(fatal));
     this.#handleClosed();
     this.socket.destroySoon();
   }
 
   async #runQueue(): Promise<void> {
-    this.#isRunning = true;
+    this.#isQueueRunning = true;
     for (let frames = this.#queue.shift(); frames !== undefined; frames = this.#queue.shift()) {
       if (this.#isClosed) break;
       try {
         await this.#run(frames);
       } catch (error) {
-        this.#abandon(error);
+        this.#closeOnProtocolError(error);
         break;
       }
       if (this.socket.isPaused() && this.#queue.length < MAX_QUEUED_REQUESTS / 2) this.socket.resume();
     }
-    this.#isRunning = false;
-    if (this.#isTerminated) this.#end();
+    this.#isQueueRunning = false;
+    if (this.#hasReceivedTerminate) this.#closeAfterTerminate();
     if (this.#isClosing) this.#closeIfIdle();
   }
 
   async #run(frames: readonly Buffer[]): Promise<void> {
-    if (this.#skipsToSync) {
-      this.#skip(frames);
+    if (this.#isSkippingToSync) {
+      this.#skipToSync(frames);
       return;
     }
-    const request = this.#builder.build(frames);
+    const request = this.#requestBuilder.build(frames);
     if (this.#isTransactionLost) {
-      this.#answerInLostTransaction(frames, request);
+      this.#respondInLostTransaction(frames, request);
       return;
     }
-    if (request.facts.kind === 'unsupported') {
+    if (request.classification.kind === 'unsupported') {
       const message = 'this statement needs a connection of its own, which a pooled connection cannot give';
-      this.#answerError(
+      this.#respondWithError(
         new RequestError(SqlState.featureNotSupported, 'not_run', message),
-        this.#status,
+        this.#transactionStatus,
         request,
       );
       return;
@@ -196,44 +206,50 @@
     await this.#route(request);
   }
 
-  #skip(frames: readonly Buffer[]): void {
+  #skipToSync(frames: readonly Buffer[]): void {
     if (frames.at(-1)?.[0] === FrontendType.flush) return;
-    this.#skipsToSync = false;
-    this.#write(readyForQuery(this.#status));
+    this.#isSkippingToSync = false;
+    this.#write(readyForQuery(this.#transactionStatus));
   }
 
-  #answerInLostTransaction(frames: readonly Buffer[], request: ClientRequest): void {
-    const { kind } = request.facts;
+  #respondInLostTransaction(frames: readonly Buffer[], request: ClientRequest): void {
+    const { kind } = request.classification;
     if (kind === 'rollback' || kind === 'commit') {
       this.#isTransactionLost = false;
-      this.#status = 'I';
-      this.#write(Buffer.concat([answerRollback(frames), readyForQuery('I')]));
+      this.#transactionStatus = 'I';
+      this.#write(Buffer.concat([rollbackResponse(frames), readyForQuery('I')]));
       return;
     }
     const message = 'the transaction was lost, commands are ignored until ROLLBACK';
-    this.#answerError(new RequestError(SqlState.inFailedTransaction, 'not_run', message), 'E', request);
+    this.#respondWithError(new RequestError(SqlState.inFailedTransaction, 'not_run', message), 'E', request);
   }
 
   async #route(request: ClientRequest): Promise<void> {
     this.#cancelSignal = new CancelSignal();
     const sink: AnswerSink = {
       data: (frames) => this.#write(frames),
-      end: (status) => this.#answerEnd(status, request),
+      end: (status) => this.#handleEnd(status, request),
       fail: (error, status) => this.#handleFailure(error, status, request),
       notOwner: () => undefined,
     };
-    const message = this.#toStatementRequest(request);
-    this.#running = request;
+    const statementRequest = this.#toStatementRequest(request);
+    this.#runningRequest = request;
     try {
-      await this.options.router.route(message, this.#status, this.#binding, this.#cancelSignal, sink);
+      await this.options.router.route(
+        statementRequest,
+        this.#transactionStatus,
+        this.#binding,
+        this.#cancelSignal,
+        sink,
+      );
     } finally {
-      this.#running = null;
+      this.#runningRequest = null;
     }
   }
 
   #toStatementRequest(request: ClientRequest): StatementRequest {
     const { identity, zone } = this.options;
-    const { facts, tags } = request;
+    const { classification, tags } = request;
     return {
       database: identity.database,
       user: identity.user,
@@ -242,51 +258,52 @@
       zone,
       requestClass: tags.requestClass ?? '',
       onceKey: tags.onceKey,
-      kind: facts.kind,
-      isReadOnlyTransaction: facts.isReadOnlyTransaction,
-      leavesSessionState: facts.leavesSessionState,
-      controlsTransaction: facts.controlsTransaction,
-      settings: this.#settings,
+      kind: classification.kind,
+      isReadOnlyTransaction: classification.isReadOnlyTransaction,
+      leavesSessionState: classification.leavesSessionState,
+      controlsTransaction: classification.controlsTransaction,
+      settings: this.#sessionSettings,
       prepared: request.prepared,
       frames: request.frames,
       terminator: request.terminator,
-      continues: this.#status !== 'I' ? 'transaction' : this.#isBatchOpen ? 'batch' : 'nothing',
+      continues: this.#transactionStatus !== 'I' ? 'transaction' : this.#isBatchOpen ? 'batch' : 'nothing',
       remainingMs: null,
     };
   }
 
-  #answerEnd(status: TransactionStatus, request: ClientRequest): void {
+  #handleEnd(status: TransactionStatus, request: ClientRequest): void {
     this.#isBatchOpen = request.terminator === 'flush';
     if (this.#isBatchOpen) return;
-    if (request.facts.kind === 'set' && this.#status === 'I') this.#rememberSettings(request.texts);
-    this.#status = status;
+    if (request.classification.kind === 'set' && this.#transactionStatus === 'I')
+      this.#recordSettings(request.texts);
+    this.#transactionStatus = status;
     this.#write(readyForQuery(status));
   }
 
   #handleFailure(error: RequestError, status: TransactionStatus, request: ClientRequest): void {
     if (status === 'E' && error.endsTransaction) this.#isTransactionLost = true;
-    this.#answerError(error, status, request);
+    this.#respondWithError(error, status, request);
   }
 
-  #answerError(error: RequestError, status: TransactionStatus, request: ClientRequest): void {
-    this.#status = status;
+  #respondWithError(error: RequestError, status: TransactionStatus, request: ClientRequest): void {
+    this.#transactionStatus = status;
     this.#isBatchOpen = false;
     if (request.terminator === 'flush') {
-      this.#skipsToSync = true;
+      this.#isSkippingToSync = true;
       this.#write(errorResponseFor(error));
       return;
     }
     this.#write(Buffer.concat([errorResponseFor(error), readyForQuery(status)]));
   }
 
-  #rememberSettings(texts: readonly string[]): void {
+  #recordSettings(texts: readonly string[]): void {
     for (const text of texts) {
       if (/^\s*(reset\s+all|discard\s+all)/i.test(text)) {
-        this.#settings = [];
-        if (/discard/i.test(text)) this.#builder.clear();
+        this.#sessionSettings = [];
+        if (/discard/i.test(text)) this.#requestBuilder.clear();
       } else {
-        const withoutSame = this.#settings.filter((known) => known !== text);
-        this.#settings = [...withoutSame, text.replace(/;\s*$/, '')].slice(-MAX_SETTINGS);
+        const otherSettings = this.#sessionSettings.filter((setting) => setting !== text);
+        this.#sessionSettings = [...otherSettings, text.replace(/;\s*$/, '')].slice(-MAX_SESSION_SETTINGS);
       }
     }
   }
@@ -297,40 +314,41 @@
     if (this.socket.writableLength > this.options.maxUnreadBytes) this.socket.destroy();
   }
 
-  #end(): void {
+  #closeAfterTerminate(): void {
     this.socket.end();
     this.#handleClosed();
   }
 
   #closeIfIdle(): void {
-    if (!this.isBusy) this.#sayGoodbye();
+    if (!this.isBusy) this.#closeWithShutdownError();
   }
 
   /**
-   * What the client is told last, with what is known of the request that runs: its answer is not waited for, and whoever has it
-   * may have run it, or may still run it.
+   * Builds the error that is sent before the connection is closed. When a request runs, the error carries its
+   * verdict: the response is not awaited, and the daemon or member that has the request may have run it or
+   * may still run it.
    */
-  #farewell(reason: RequestError): Buffer {
-    if (this.#running === null) return errorResponseFor(reason, 'FATAL');
-    const { facts, terminator, tags } = this.#running;
-    const lost = {
-      kind: facts.kind,
-      isInTransaction: this.#status !== 'I',
-      controlsTransaction: facts.controlsTransaction,
+  #closingError(reason: RequestError): Buffer {
+    if (this.#runningRequest === null) return errorResponseFor(reason, 'FATAL');
+    const { classification, terminator, tags } = this.#runningRequest;
+    const lostRequest = {
+      kind: classification.kind,
+      isInTransaction: this.#transactionStatus !== 'I',
+      controlsTransaction: classification.controlsTransaction,
       hasSentData: true,
       hasOnceKey: tags.onceKey !== null,
       isRepeatable: false,
       endsWithFlush: terminator === 'flush',
     };
-    const judgement = judgeLoss(lost, reason.message);
+    const judgement = judgeLoss(lostRequest, reason.message);
     const { error } = judgement.kind === 'report' ? judgement.report : judgement.otherwise;
-    const farewell = new RequestError(reason.sqlState, error.verdict, error.message, error.retryAfterMs);
-    return errorResponseFor(farewell, 'FATAL');
+    const closingError = new RequestError(reason.sqlState, error.verdict, error.message, error.retryAfterMs);
+    return errorResponseFor(closingError, 'FATAL');
   }
 
-  #sayGoodbye(): void {
+  #closeWithShutdownError(): void {
     if (this.#isClosed) return;
-    this.socket.end(this.#farewell(STOPPING));
+    this.socket.end(this.#closingError(SHUTDOWN_ERROR));
     this.#handleClosed();
   }
 
--- a/src/entry/client-server.ts
+++ b/src/entry/client-server.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts client connections: start-up, cancel requests, limits.
+ * Accepts client connections: handles start-up and cancel requests, and enforces the connection limits.
  *
  * @packageDocumentation
  */
@@ -33,9 +33,9 @@
   readonly maxConnections: number;
   readonly maxRequestBytes: number;
   readonly maxUnreadBytes: number;
-  /** Time in which a client must complete its start-up, in milliseconds. */
+  /** Time in which a client must complete the start-up handshake, in milliseconds. */
   readonly startupTimeoutMs: number;
-  /** Why no client can be served now, or `null`. */
+  /** Returns why no client can be served now, or `null`. */
   readonly unavailable: () => string | null;
   readonly hasDatabase: (name: string) => boolean;
 }
@@ -47,22 +47,22 @@
 
 const PAUSE_THRESHOLD_MS = 1000;
 const PAUSE_WINDOW_MS = 250;
-const PAUSE_TICK_MS = 100;
+const PAUSE_CHECK_INTERVAL_MS = 100;
 const MAX_STARTUP_BYTES = 10_000;
 const RETRY_AFTER_UNAVAILABLE_MS = 1000;
-const RETRY_AFTER_LIMIT_MS = 5000;
+const RETRY_AFTER_CONNECTION_LIMIT_MS = 5000;
 
-/** Listens for clients. */
+/** Listens for client connections. */
 export class ClientServer {
   readonly #server: Server;
   readonly #connections = new Set<ClientConnection>();
   readonly #cancelTargets = new Map<number, CancelTarget>();
-  readonly #pauses = new PauseDetector(
+  readonly #pauseDetector = new PauseDetector(
     { thresholdMs: PAUSE_THRESHOLD_MS, windowMs: PAUSE_WINDOW_MS },
     performance.now(),
   );
   #pauseTimer: NodeJS.Timeout | null = null;
-  #isAwaitingPasses = false;
+  #isCountingIterations = false;
   #nextProcessId = 1;
   #isClosing = false;
 
@@ -75,9 +75,9 @@
     return this.#connections.size;
   }
 
-  /** Starts to listen. */
+  /** Starts to listen, and to check at regular intervals whether the process was paused. */
   listen(host: string, port: number): Promise<void> {
-    this.#pauseTimer = setInterval(() => this.#mayReadBeOld(), PAUSE_TICK_MS);
+    this.#pauseTimer = setInterval(() => this.#mayInputPredatePause(), PAUSE_CHECK_INTERVAL_MS);
     this.#pauseTimer.unref();
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -85,7 +85,10 @@
     });
   }
 
-  /** Accepts nobody any more and ends each connection once it is idle; returns how many were cut. */
+  /**
+   * Stops accepting connections and closes each connection once it is idle. Connections that are left after
+   * `timeoutMs` are closed immediately; returns how many of these were busy.
+   */
   async drain(timeoutMs: number): Promise<number> {
     this.#isClosing = true;
     this.#server.close();
@@ -98,28 +101,28 @@
     return [...this.#connections].filter((connection) => connection.closeNow()).length;
   }
 
-  /** True when the process has been paused since `sinceMs`, in monotonic milliseconds. */
+  /** True when the process was paused after `sinceMs` (monotonic, in milliseconds). */
   hasPausedSince(sinceMs: number): boolean {
-    const hasPaused = this.#pauses.hasPausedSince(sinceMs, performance.now());
-    this.#awaitPasses();
+    const hasPaused = this.#pauseDetector.hasPausedSince(sinceMs, performance.now());
+    this.#countIterations();
     return hasPaused;
   }
 
-  #mayReadBeOld(): boolean {
-    const mayBeOld = this.#pauses.tick(performance.now());
-    if (mayBeOld) this.#awaitPasses();
-    return mayBeOld;
+  #mayInputPredatePause(): boolean {
+    const mayPredatePause = this.#pauseDetector.tick(performance.now());
+    if (mayPredatePause) this.#countIterations();
+    return mayPredatePause;
   }
 
-  /** Counts the passes of the event loop after a pause. */
-  #awaitPasses(): void {
-    if (this.#isAwaitingPasses) return;
-    this.#isAwaitingPasses = true;
-    const next = (): void => {
-      if (this.#pauses.passed()) setImmediate(next);
-      else this.#isAwaitingPasses = false;
+  /** Reports event-loop iterations to the pause detector until it needs no more. */
+  #countIterations(): void {
+    if (this.#isCountingIterations) return;
+    this.#isCountingIterations = true;
+    const onIteration = (): void => {
+      if (this.#pauseDetector.passed()) setImmediate(onIteration);
+      else this.#isCountingIterations = false;
     };
-    setImmediate(next);
+    setImmediate(onIteration);
   }
 
   #accept(socket: Socket): void {
@@ -152,22 +155,22 @@
 
   #handleStartup(socket: Socket, body: Buffer): void {
     if (body.readUInt32BE(0) === CANCEL_REQUEST_CODE) {
-      this.#cancel(body);
+      this.#handleCancelRequest(body);
       socket.end();
       return;
     }
     try {
       const startup = readStartup(body);
-      const refusal = this.#refuse(startup);
-      if (refusal === null) this.#open(socket, startup);
-      else socket.end(errorResponseFor(refusal, 'FATAL'));
+      const rejection = this.#checkStartup(startup);
+      if (rejection === null) this.#openConnection(socket, startup);
+      else socket.end(errorResponseFor(rejection, 'FATAL'));
     } catch (error) {
       const message = error instanceof MessageFormatError ? error.message : 'malformed start-up message';
       socket.end(errorResponseFor(new RequestError(SqlState.protocolViolation, 'not_run', message), 'FATAL'));
     }
   }
 
-  #refuse(startup: StartupMessage): RequestError | null {
+  #checkStartup(startup: StartupMessage): RequestError | null {
     const { protocolVersion, parameters } = startup;
     if (protocolVersion !== PROTOCOL_VERSION_3) {
       return new RequestError(
@@ -185,7 +188,7 @@
         SqlState.tooManyConnections,
         'not_run',
         'too many clients',
-        RETRY_AFTER_LIMIT_MS,
+        RETRY_AFTER_CONNECTION_LIMIT_MS,
       );
     }
     const user = parameters.get('user');
@@ -196,7 +199,7 @@
     return new RequestError(SqlState.undefinedDatabase, 'not_run', `database "${database}" does not exist`);
   }
 
-  #open(socket: Socket, { parameters }: StartupMessage): void {
+  #openConnection(socket: Socket, { parameters }: StartupMessage): void {
     const processId = this.#nextProcessId++;
     const secretKey = randomInt(1, 2 ** 31 - 1);
     const user = parameters.get('user') ?? '';
@@ -212,7 +215,7 @@
       router,
       maxRequestBytes,
       maxUnreadBytes,
-      mayReadBeOld: () => this.#mayReadBeOld(),
+      mayInputPredatePause: () => this.#mayInputPredatePause(),
       onClosed: () => {
         this.#connections.delete(connection);
         this.#cancelTargets.delete(processId);
@@ -220,10 +223,10 @@
     });
     this.#connections.add(connection);
     this.#cancelTargets.set(processId, { secretKey, connection });
-    socket.write(greeting(processId, secretKey));
+    socket.write(startupResponse(processId, secretKey));
   }
 
-  #cancel(body: Buffer): void {
+  #handleCancelRequest(body: Buffer): void {
     if (body.length < 12) return;
     const target = this.#cancelTargets.get(body.readInt32BE(4));
     if (target !== undefined && target.secretKey === body.readInt32BE(8)) target.connection.cancel();
@@ -235,7 +238,7 @@
   return code === SSL_REQUEST_CODE || code === GSS_REQUEST_CODE;
 }
 
-function greeting(processId: number, secretKey: number): Buffer {
+function startupResponse(processId: number, secretKey: number): Buffer {
   return Buffer.concat([
     authenticationOk(),
     parameterStatus('server_version', '15.0'),
--- a/src/entry/lost-transaction.ts
+++ b/src/entry/lost-transaction.ts
@@ -1,5 +1,5 @@
 /**
- * Answers the requests of a client whose transaction was lost with its connection, until it rolls back.
+ * Responds to the COMMIT or ROLLBACK that ends a transaction lost with the connection it ran on.
  *
  * @packageDocumentation
  */
@@ -7,12 +7,12 @@
 import { readObjectReference } from '../wire/frontend-messages.js';
 import { BackendType, FrontendType } from '../wire/message-types.js';
 
-/** Replies to a request that ends the lost transaction, as if a server had rolled it back. */
-export function answerRollback(frames: readonly Buffer[]): Buffer {
-  return Buffer.concat(frames.map(answerOne));
+/** Builds the response to a COMMIT or ROLLBACK, as a server gives it when it rolls the transaction back. */
+export function rollbackResponse(frames: readonly Buffer[]): Buffer {
+  return Buffer.concat(frames.map(responseTo));
 }
 
-function answerOne(frame: Buffer): Buffer {
+function responseTo(frame: Buffer): Buffer {
   switch (frame[0]) {
     case FrontendType.query:
     case FrontendType.execute:
--- a/src/entry/request-builder.ts
+++ b/src/entry/request-builder.ts
@@ -1,13 +1,13 @@
 /**
- * Turns the messages of one client connection into requests.
+ * Builds requests from the protocol messages of one client connection.
  *
  * @packageDocumentation
  */
 import { createHash } from 'node:crypto';
 import type { PreparedReference } from '../engine/statement-request.js';
-import { classify, combineFacts } from '../statement/classify.js';
-import { NO_TAGS, readTags, withDefaults, type RequestTags } from '../statement/request-tags.js';
-import type { StatementFacts } from '../statement/statement-kind.js';
+import { classify, combineClassifications } from '../statement/classify.js';
+import { NO_TAGS, readTags, withDefaultTags, type RequestTags } from '../statement/request-tags.js';
+import type { StatementClassification } from '../statement/statement-kind.js';
 import {
   buildObjectMessage,
   buildParse,
@@ -19,25 +19,26 @@
 } from '../wire/frontend-messages.js';
 import { FrontendType } from '../wire/message-types.js';
 
-/** A request as the client's messages give it. */
+/** A request built from a client's messages. */
 export interface ClientRequest {
   readonly frames: Buffer;
   readonly terminator: 'query' | 'sync' | 'flush';
-  readonly facts: StatementFacts;
+  readonly classification: StatementClassification;
   readonly tags: RequestTags;
   readonly prepared: readonly PreparedReference[];
-  /** Texts of the statements executed, without their tags. */
+  /** SQL texts of the executed statements, without their tags. */
   readonly texts: readonly string[];
 }
 
-interface NamedStatement {
+interface PreparedStatement {
   readonly reference: PreparedReference;
-  readonly facts: StatementFacts;
+  readonly classification: StatementClassification;
   readonly tags: RequestTags;
 }
 
-const MAX_NAMED_STATEMENTS = 5000;
-const READ_FACTS: StatementFacts = {
+const MAX_PREPARED_STATEMENTS = 5000;
+/** Classification of a request that executes no statement. */
+const NOTHING_EXECUTED: StatementClassification = {
   kind: 'read',
   count: 0,
   controlsTransaction: false,
@@ -45,24 +46,24 @@
   isReadOnlyTransaction: false,
 };
 
-/** Thrown when a client holds more prepared statements than allowed. */
+/** Thrown when a client keeps more prepared statements than allowed. */
 export class TooManyStatementsError extends Error {}
 
-/** Keeps the prepared statements and portals of one client connection. */
+/** Tracks the prepared statements and portals of one client connection, and builds its requests. */
 export class RequestBuilder {
-  readonly #statements = new Map<string, NamedStatement>();
-  readonly #portals = new Map<string, NamedStatement>();
+  readonly #statements = new Map<string, PreparedStatement>();
+  readonly #portals = new Map<string, PreparedStatement>();
 
-  /** @param defaults - tags of the connection */
-  constructor(private readonly defaults: RequestTags) {}
+  /** @param defaultTags - tags from the start-up parameters of the connection */
+  constructor(private readonly defaultTags: RequestTags) {}
 
-  /** Forgets all prepared statements, as DISCARD ALL does. */
+  /** Discards all prepared statements and portals, as DISCARD ALL does. */
   clear(): void {
     this.#statements.clear();
     this.#portals.clear();
   }
 
-  /** Builds a request from messages, the last of which is Query, Sync or Flush. */
+  /** Builds a request from messages, the last of which must be Query, Sync or Flush. */
   build(frames: readonly Buffer[]): ClientRequest {
     const last = frames.at(-1);
     if (last !== undefined && last[0] === FrontendType.query) return this.#buildQuery(last);
@@ -74,31 +75,34 @@
     return {
       frames: frame,
       terminator: 'query',
-      facts: classify(text),
-      tags: withDefaults(tags, this.defaults),
+      classification: classify(text),
+      tags: withDefaultTags(tags, this.defaultTags),
       prepared: [],
       texts: [text],
     };
   }
 
   #buildExtended(frames: readonly Buffer[]): ClientRequest {
-    const batch = new Batch();
+    const batch = new BatchStatements();
     const rewritten = frames.map((frame) => this.#rewrite(frame, batch));
     const terminator = frames.at(-1)?.[0] === FrontendType.flush ? 'flush' : 'sync';
     const executed =
-      batch.executed.length > 0 ? batch.executed : terminator === 'flush' ? batch.mentioned : [];
+      batch.executed.length > 0 ? batch.executed : terminator === 'flush' ? batch.referenced : [];
     const tags = executed.find((statement) => statement.tags !== NO_TAGS)?.tags ?? NO_TAGS;
     return {
       frames: Buffer.concat(rewritten),
       terminator,
-      facts: executed.length === 0 ? READ_FACTS : combineFacts(executed.map(({ facts }) => facts)),
-      tags: withDefaults(tags, this.defaults),
-      prepared: [...batch.references.values()],
+      classification:
+        executed.length === 0
+          ? NOTHING_EXECUTED
+          : combineClassifications(executed.map(({ classification }) => classification)),
+      tags: withDefaultTags(tags, this.defaultTags),
+      prepared: [...batch.requiredStatements.values()],
       texts: executed.map(({ reference }) => reference.text),
     };
   }
 
-  #rewrite(frame: Buffer, batch: Batch): Buffer {
+  #rewrite(frame: Buffer, batch: BatchStatements): Buffer {
     switch (frame[0]) {
       case FrontendType.parse:
         return this.#rewriteParse(frame, batch);
@@ -106,7 +110,7 @@
         return this.#rewriteBind(frame, batch);
       case FrontendType.describe:
       case FrontendType.close:
-        return this.#rewriteObject(frame, batch);
+        return this.#rewriteDescribeOrClose(frame, batch);
       case FrontendType.execute: {
         const portal = frame.toString('utf8', 5, frame.indexOf(0, 5));
         const statement = this.#portals.get(portal);
@@ -118,57 +122,57 @@
     }
   }
 
-  #rewriteParse(frame: Buffer, batch: Batch): Buffer {
+  #rewriteParse(frame: Buffer, batch: BatchStatements): Buffer {
     const parse = readParse(frame);
     const { text, tags } = readTags(parse.text);
-    const name = hashName(text, parse.typesPart);
+    const name = preparedStatementName(text, parse.typesPart);
     const statement = {
       reference: { name, text, typesPart: Buffer.from(parse.typesPart) },
-      facts: classify(text),
+      classification: classify(text),
       tags,
     };
     this.#statements.set(parse.name, statement);
-    if (this.#statements.size > MAX_NAMED_STATEMENTS) throw new TooManyStatementsError();
-    batch.parsed.add(name);
-    batch.mentioned.push(statement);
+    if (this.#statements.size > MAX_PREPARED_STATEMENTS) throw new TooManyStatementsError();
+    batch.parsedNames.add(name);
+    batch.referenced.push(statement);
     return buildParse({ name, text, typesPart: parse.typesPart });
   }
 
-  #rewriteBind(frame: Buffer, batch: Batch): Buffer {
+  #rewriteBind(frame: Buffer, batch: BatchStatements): Buffer {
     const statement = this.#statements.get(readBindStatement(frame));
     if (statement === undefined) return frame;
     const portal = frame.toString('utf8', 5, frame.indexOf(0, 5));
     this.#portals.set(portal, statement);
-    batch.refer(statement);
+    batch.addReference(statement);
     return renameBindStatement(frame, statement.reference.name);
   }
 
-  #rewriteObject(frame: Buffer, batch: Batch): Buffer {
+  #rewriteDescribeOrClose(frame: Buffer, batch: BatchStatements): Buffer {
     const { kind, name } = readObjectReference(frame);
     if (kind === 'portal') return frame;
     const statement = this.#statements.get(name);
     if (statement === undefined) return frame;
     if (frame[0] === FrontendType.close) this.#statements.delete(name);
-    else batch.refer(statement);
+    else batch.addReference(statement);
     return buildObjectMessage(frame[0] ?? 0, { kind, name: statement.reference.name });
   }
 }
 
-/** What the messages of one request refer to. */
-class Batch {
-  readonly parsed = new Set<string>();
-  readonly references = new Map<string, PreparedReference>();
-  readonly executed: NamedStatement[] = [];
-  readonly mentioned: NamedStatement[] = [];
+/** Statements that the messages of one request execute or refer to. */
+class BatchStatements {
+  readonly parsedNames = new Set<string>();
+  readonly requiredStatements = new Map<string, PreparedReference>();
+  readonly executed: PreparedStatement[] = [];
+  readonly referenced: PreparedStatement[] = [];
 
-  /** Notes a statement that must be there before the request's own messages. */
-  refer(statement: NamedStatement): void {
-    this.mentioned.push(statement);
+  /** Adds a statement; unless the request itself parses it, it must be prepared before the request is run. */
+  addReference(statement: PreparedStatement): void {
+    this.referenced.push(statement);
     const { reference } = statement;
-    if (!this.parsed.has(reference.name)) this.references.set(reference.name, reference);
+    if (!this.parsedNames.has(reference.name)) this.requiredStatements.set(reference.name, reference);
   }
 }
 
-function hashName(text: string, typesPart: Buffer): string {
+function preparedStatementName(text: string, typesPart: Buffer): string {
   return `s_${createHash('sha1').update(text).update('\0').update(typesPart).digest('hex')}`;
 }
--- a/src/statement/classify.ts
+++ b/src/statement/classify.ts
@@ -1,20 +1,22 @@
 /**
- * Finds out what a text does, with PostgreSQL's own parser.
+ * Classifies SQL texts with PostgreSQL's own parser.
  *
  * @packageDocumentation
  */
 import { loadModule, parseSync } from 'libpg-query';
 import { LRUCache } from 'lru-cache';
 import { READ_ONLY_FUNCTIONS } from './read-only-functions.js';
-import type { StatementFacts, StatementKind } from './statement-kind.js';
+import type { StatementClassification, StatementKind } from './statement-kind.js';
 
 const CACHE_ENTRIES = 5000;
 const MAX_CACHED_TEXT_CHARACTERS = 10_000;
 
-const cache = new LRUCache<string, StatementFacts>({ max: CACHE_ENTRIES });
+const cache = new LRUCache<string, StatementClassification>({ max: CACHE_ENTRIES });
 
-/** Facts about a text that the parser does not understand: it is treated as a write. */
-const UNKNOWN: StatementFacts = {
+/**
+ * Classification of a text that cannot be parsed, which is treated as a write; also the base of all others.
+ */
+const DEFAULT_CLASSIFICATION: StatementClassification = {
   kind: 'write',
   count: 1,
   controlsTransaction: false,
@@ -24,24 +26,26 @@
 
 await loadModule();
 
-/** Facts about a text, without its comments; the result is cached. */
-export function classify(text: string): StatementFacts {
-  const known = cache.get(text);
-  if (known !== undefined) return known;
-  const facts = classifyUncached(text);
-  if (text.length <= MAX_CACHED_TEXT_CHARACTERS) cache.set(text, facts);
-  return facts;
+/** Classifies a text from which the tags have been removed; the result is cached. */
+export function classify(text: string): StatementClassification {
+  const cached = cache.get(text);
+  if (cached !== undefined) return cached;
+  const classification = classifyUncached(text);
+  if (text.length <= MAX_CACHED_TEXT_CHARACTERS) cache.set(text, classification);
+  return classification;
 }
 
-/** Facts about several texts that are sent as one request. */
-export function combineFacts(facts: readonly StatementFacts[]): StatementFacts {
-  const [only] = facts;
-  if (only !== undefined && facts.length === 1) return only;
+/** Combines the classifications of statements that are sent as one request. */
+export function combineClassifications(
+  classifications: readonly StatementClassification[],
+): StatementClassification {
+  const [only] = classifications;
+  if (only !== undefined && classifications.length === 1) return only;
   return {
-    kind: combineKinds(facts.map(({ kind }) => kind)),
-    count: facts.reduce((total, { count }) => total + count, 0),
-    controlsTransaction: facts.some(({ controlsTransaction }) => controlsTransaction),
-    leavesSessionState: facts.some(({ leavesSessionState }) => leavesSessionState),
+    kind: combineKinds(classifications.map(({ kind }) => kind)),
+    count: classifications.reduce((total, { count }) => total + count, 0),
+    controlsTransaction: classifications.some(({ controlsTransaction }) => controlsTransaction),
+    leavesSessionState: classifications.some(({ leavesSessionState }) => leavesSessionState),
     isReadOnlyTransaction: false,
   };
 }
@@ -54,16 +58,16 @@
   return 'write';
 }
 
-type Node = Readonly<Record<string, unknown>>;
+type ParseNode = Readonly<Record<string, unknown>>;
 
-function classifyUncached(text: string): StatementFacts {
-  let statements: readonly { readonly stmt: Node }[];
+function classifyUncached(text: string): StatementClassification {
+  let statements: readonly { readonly stmt: ParseNode }[];
   try {
-    statements = (parseSync(text) as { stmts?: { stmt: Node }[] }).stmts ?? [];
+    statements = (parseSync(text) as { stmts?: { stmt: ParseNode }[] }).stmts ?? [];
   } catch {
-    return UNKNOWN;
+    return DEFAULT_CLASSIFICATION;
   }
-  return combineFacts(statements.map(({ stmt }) => classifyStatement(stmt)));
+  return combineClassifications(statements.map(({ stmt }) => classifyStatement(stmt)));
 }
 
 const UNSUPPORTED_KINDS: ReadonlySet<string> = new Set([
@@ -83,58 +87,58 @@
   'pg_try_advisory_lock_shared',
 ]);
 
-function classifyStatement(statement: Node): StatementFacts {
+function classifyStatement(statement: ParseNode): StatementClassification {
   const [kind, body] = Object.entries(statement)[0] ?? ['', {}];
-  const facts = { ...UNKNOWN };
-  if (UNSUPPORTED_KINDS.has(kind)) return { ...facts, kind: 'unsupported' };
+  const defaults = { ...DEFAULT_CLASSIFICATION };
+  if (UNSUPPORTED_KINDS.has(kind)) return { ...defaults, kind: 'unsupported' };
   switch (kind) {
     case 'SelectStmt':
-      return classifySelect(body as Node);
+      return classifySelect(body as ParseNode);
     case 'VariableShowStmt':
-      return { ...facts, kind: 'read' };
+      return { ...defaults, kind: 'read' };
     case 'VariableSetStmt':
-      return (body as Node)['is_local'] === true
-        ? facts
-        : { ...facts, kind: 'set', leavesSessionState: true };
+      return (body as ParseNode)['is_local'] === true
+        ? defaults
+        : { ...defaults, kind: 'set', leavesSessionState: true };
     case 'DiscardStmt':
-      return { ...facts, kind: 'set', leavesSessionState: true };
+      return { ...defaults, kind: 'set', leavesSessionState: true };
     case 'TransactionStmt':
-      return classifyTransaction(body as Node);
+      return classifyTransaction(body as ParseNode);
     default:
-      return { ...facts, leavesSessionState: isTemporary(body as Node) };
+      return { ...defaults, leavesSessionState: isTemporary(body as ParseNode) };
   }
 }
 
-function isTemporary(body: Node): boolean {
-  return (body['relation'] as Node | undefined)?.['relpersistence'] === 't' && 'tableElts' in body;
+function isTemporary(body: ParseNode): boolean {
+  return (body['relation'] as ParseNode | undefined)?.['relpersistence'] === 't' && 'tableElts' in body;
 }
 
-function classifyTransaction(body: Node): StatementFacts {
-  const facts = { ...UNKNOWN, controlsTransaction: true };
+function classifyTransaction(body: ParseNode): StatementClassification {
+  const defaults = { ...DEFAULT_CLASSIFICATION, controlsTransaction: true };
   switch (body['kind']) {
     case 'TRANS_STMT_BEGIN':
     case 'TRANS_STMT_START': {
       const isReadOnlyTransaction = /transaction_read_only.*"ival":1/.test(
         JSON.stringify(body['options'] ?? ''),
       );
-      return { ...facts, kind: 'begin', isReadOnlyTransaction };
+      return { ...defaults, kind: 'begin', isReadOnlyTransaction };
     }
     case 'TRANS_STMT_COMMIT':
-      return { ...facts, kind: 'commit' };
+      return { ...defaults, kind: 'commit' };
     case 'TRANS_STMT_ROLLBACK':
-      return { ...facts, kind: 'rollback' };
+      return { ...defaults, kind: 'rollback' };
     case 'TRANS_STMT_PREPARE':
     case 'TRANS_STMT_COMMIT_PREPARED':
     case 'TRANS_STMT_ROLLBACK_PREPARED':
-      return { ...facts, kind: 'unsupported' };
+      return { ...defaults, kind: 'unsupported' };
     default:
-      return { ...facts, controlsTransaction: false };
+      return { ...defaults, controlsTransaction: false };
   }
 }
 
-interface Findings {
+interface SelectEffects {
   writes: boolean;
-  locksSession: boolean;
+  takesSessionLock: boolean;
 }
 
 const WRITING_NODES: ReadonlySet<string> = new Set([
@@ -147,27 +151,27 @@
   'LockingClause',
 ]);
 
-function classifySelect(body: Node): StatementFacts {
-  const findings: Findings = { writes: false, locksSession: false };
-  inspect(body, findings);
+function classifySelect(body: ParseNode): StatementClassification {
+  const effects: SelectEffects = { writes: false, takesSessionLock: false };
+  collectEffects(body, effects);
   return {
-    ...UNKNOWN,
-    kind: findings.locksSession ? 'unsupported' : findings.writes ? 'write' : 'read',
+    ...DEFAULT_CLASSIFICATION,
+    kind: effects.takesSessionLock ? 'unsupported' : effects.writes ? 'write' : 'read',
   };
 }
 
-function inspect(tree: unknown, findings: Findings): void {
+function collectEffects(tree: unknown, effects: SelectEffects): void {
   if (tree === null || typeof tree !== 'object') return;
   for (const [name, value] of Object.entries(tree)) {
-    if (WRITING_NODES.has(name)) findings.writes = true;
-    if (name === 'FuncCall') inspectCall(value as Node, findings);
-    inspect(value, findings);
+    if (WRITING_NODES.has(name)) effects.writes = true;
+    if (name === 'FuncCall') collectCallEffects(value as ParseNode, effects);
+    collectEffects(value, effects);
   }
 }
 
-function inspectCall(call: Node, findings: Findings): void {
+function collectCallEffects(call: ParseNode, effects: SelectEffects): void {
   const names = call['funcname'] as { String?: { sval?: string } }[] | undefined;
   const name = names?.at(-1)?.String?.sval ?? '';
-  if (SESSION_LOCK_FUNCTIONS.has(name)) findings.locksSession = true;
-  if (!READ_ONLY_FUNCTIONS.has(name)) findings.writes = true;
+  if (SESSION_LOCK_FUNCTIONS.has(name)) effects.takesSessionLock = true;
+  if (!READ_ONLY_FUNCTIONS.has(name)) effects.writes = true;
 }
--- a/src/statement/read-only-functions.ts
+++ b/src/statement/read-only-functions.ts
@@ -1,5 +1,5 @@
 /**
- * Functions that are known to have no effect (PostgreSQL documentation, chapter 9).
+ * SQL functions that are known to have no side effects (PostgreSQL documentation, chapter 9).
  *
  * @packageDocumentation
  */
--- a/src/statement/request-tags.ts
+++ b/src/statement/request-tags.ts
@@ -1,44 +1,44 @@
 /**
- * How a caller names a request's class, session and once-only key: a comment in sqlcommenter form at the end
- * of the text, for instance a block comment that holds `class='issue',once='4711'`, with start-up parameters
- * as defaults.
+ * Parses the tags with which a client gives a request's class, session and once-only key: a comment in
+ * sqlcommenter format at the end of the SQL text, for instance a block comment that holds
+ * `class='issue',once='4711'`. Start-up parameters give the defaults of class and session.
  *
  * @packageDocumentation
  */
 
-/** Names given by the caller; `null` where nothing was given. */
+/** Tags given by the client; `null` where none was given. */
 export interface RequestTags {
   readonly requestClass: string | null;
   readonly session: string | null;
   readonly onceKey: string | null;
 }
 
-/** A text taken apart. */
-export interface TaggedText {
-  /** The text without its last comment, if that held tags. */
+/** An SQL text and the tags parsed from it. */
+export interface TagParseResult {
+  /** The text without its last comment, if that comment held tags. */
   readonly text: string;
   readonly tags: RequestTags;
 }
 
-/** Tags of a caller who gave none. */
+/** Tags of a request that gives none. */
 export const NO_TAGS: RequestTags = { requestClass: null, session: null, onceKey: null };
 
-/** Start-up parameters that set the defaults of a connection. */
+/** Start-up parameters that set the default tags of a connection. */
 export const StartupParameter = {
   requestClass: 'sorrelladder.class',
   session: 'sorrelladder.session',
 } as const;
 
 const MAX_TAG_CHARACTERS = 200;
-const PAIR = /^\s*([a-z_]+)='((?:[^'\\]|\\.)*)'\s*$/;
+const TAG_PAIR = /^\s*([a-z_]+)='((?:[^'\\]|\\.)*)'\s*$/;
 
-/** Separates a text from the tags in its last comment. */
-export function readTags(text: string): TaggedText {
+/** Parses the tags in the last comment of a text, and removes that comment. */
+export function readTags(text: string): TagParseResult {
   const end = text.trimEnd().replace(/;$/, '').trimEnd();
   if (!end.endsWith('*/')) return { text, tags: NO_TAGS };
   const start = end.lastIndexOf('/*');
   if (start < 0) return { text, tags: NO_TAGS };
-  const pairs = readPairs(end.slice(start + 2, -2));
+  const pairs = parsePairs(end.slice(start + 2, -2));
   if (pairs === null) return { text, tags: NO_TAGS };
   const tags = {
     requestClass: pairs.get('class') ?? null,
@@ -48,8 +48,8 @@
   return { text: end.slice(0, start), tags };
 }
 
-/** Tags of a text over the defaults of its connection. */
-export function withDefaults(tags: RequestTags, defaults: RequestTags): RequestTags {
+/** Fills in missing tags with the defaults of the connection; the once-only key has no default. */
+export function withDefaultTags(tags: RequestTags, defaults: RequestTags): RequestTags {
   return {
     requestClass: tags.requestClass ?? defaults.requestClass,
     session: tags.session ?? defaults.session,
@@ -57,10 +57,10 @@
   };
 }
 
-function readPairs(body: string): Map<string, string> | null {
+function parsePairs(body: string): Map<string, string> | null {
   const pairs = new Map<string, string>();
   for (const part of body.split(',')) {
-    const match = PAIR.exec(part);
+    const match = TAG_PAIR.exec(part);
     if (match === null) return null;
     const [, name = '', value = ''] = match;
     pairs.set(name, decodeValue(value).slice(0, MAX_TAG_CHARACTERS));
@@ -77,7 +77,7 @@
   }
 }
 
-/** Reads the defaults of a connection from its start-up parameters, also from `options=-c name=value`. */
+/** Reads the default tags of a connection from its start-up parameters, also from `options=-c name=value`. */
 export function readStartupTags(parameters: ReadonlyMap<string, string>): RequestTags {
   const options = new Map<string, string>();
   for (const match of (parameters.get('options') ?? '').matchAll(/-c\s*([\w.]+)=(\S*)/g)) {
