--- a/src/wire/corked-writer.ts
+++ b/src/wire/corked-writer.ts
@@ -1,17 +1,17 @@
 /**
- * Combines all writes to a socket within one event-loop turn into one system call.
+ * Combines the writes to a socket that one event-loop callback makes into one system call.
  *
  * @packageDocumentation
  */
 import type { Socket } from 'node:net';
 
-/** Writes to a socket that stays corked until the end of the event-loop turn. */
+/** Writes to a socket that stays corked until the current event-loop callback has finished. */
 export class CorkedWriter {
   #isCorked = false;
 
   constructor(private readonly socket: Socket) {}
 
-  /** Buffers data, which is sent at the end of the event-loop turn. */
+  /** Buffers data, which is sent when the current event-loop callback has finished. */
   write(data: Uint8Array): void {
     if (!this.#isCorked) {
       this.#isCorked = true;
