--- a/bench/experiment/tenancy-cost.ts
+++ b/bench/experiment/tenancy-cost.ts
@@ -8,7 +8,7 @@
 import { authorize } from '../../src/tenancy/authorize.js';
 import { ConfigurationLease } from '../../src/tenancy/configuration-lease.js';
 import { digestKey, type KeyDigest } from '../../src/tenancy/key-digest.js';
-import { TenantRegister, type Tenant } from '../../src/tenancy/tenant-register.js';
+import { TenantRegistry, type Tenant } from '../../src/tenancy/tenant-registry.js';
 import type { Revision } from '../../src/coordination/revision.js';
 
 /** Revision of the only configuration. */
@@ -39,17 +39,17 @@
     return { name: `tenant-${index}`, priority: 0, quota: QUOTA };
   });
   const entries = tenants.map((tenant) => ({ tenant, keys: keysOf(tenant.name) }));
-  const register = new TenantRegister(entries);
+  const register = new TenantRegistry(entries);
   const keys = entries.flatMap((entry) => entry.keys);
   const lease = new ConfigurationLease(5000);
   lease.adopt(1, FIRST, 0);
-  lease.prove({ version: 1, provenAtMs: performance.now() + 1e9 });
+  lease.recordProof({ version: 1, provenAtMs: performance.now() + 1e9 });
   const quotas = new QuotaService({
     ownName: 'self',
     daemons: () => [daemonRecord('self')],
-    tenant: (name) => register.find(name),
-    ask: () => Promise.resolve(null),
-    isEnded: () => Promise.resolve(false),
+    findTenant: (name) => register.findByName(name),
+    requestGrant: () => Promise.resolve(null),
+    hasProcessEnded: () => Promise.resolve(false),
     now: () => performance.now(),
     random: () => 0.5,
   });
--- a/src/common/shared-question.test.ts
+++ b/src/common/coalesced-call.test.ts
@@ -5,17 +5,17 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SharedQuestion } from './shared-question.js';
+import { CoalescedCall } from './coalesced-call.js';
 
 /** An operation whose runs are resolved manually, in order. */
 function createFixture(): {
-  sharedCall: SharedQuestion<number>;
+  sharedCall: CoalescedCall<number>;
   resolveRun: (value: number) => void;
   runCount: () => number;
 } {
   const pending: ((value: number) => void)[] = [];
   let count = 0;
-  const sharedCall = new SharedQuestion<number>(() => {
+  const sharedCall = new CoalescedCall<number>(() => {
     count += 1;
     return new Promise((resolve) => pending.push(resolve));
   });
@@ -24,8 +24,8 @@
 
 test('callers that arrive during a run get the result of the next run', async () => {
   const { sharedCall, resolveRun, runCount } = createFixture();
-  const first = sharedCall.ask();
-  const others = Array.from({ length: 200 }, () => sharedCall.ask());
+  const first = sharedCall.call();
+  const others = Array.from({ length: 200 }, () => sharedCall.call());
   assert.equal(runCount(), 1);
   resolveRun(1);
   assert.equal(await first, 1);
@@ -38,12 +38,12 @@
 
 test('a failed run does not fail later callers', async () => {
   let count = 0;
-  const sharedCall = new SharedQuestion<number>(() => {
+  const sharedCall = new CoalescedCall<number>(() => {
     count += 1;
     return count === 1 ? Promise.reject(new Error('lost')) : Promise.resolve(count);
   });
-  const first = sharedCall.ask();
-  const second = sharedCall.ask();
+  const first = sharedCall.call();
+  const second = sharedCall.call();
   await assert.rejects(first, /lost/);
   assert.equal(await second, 2);
 });
--- a/src/common/shared-question.ts
+++ b/src/common/coalesced-call.ts
@@ -9,7 +9,7 @@
  */
 
 /** Runs one operation on behalf of all concurrent callers. */
-export class SharedQuestion<Result> {
+export class CoalescedCall<Result> {
   #current: Promise<Result> | null = null;
   #next: Promise<Result> | null = null;
 
@@ -17,7 +17,7 @@
   constructor(private readonly run: () => Promise<Result>) {}
 
   /** The result of a run that begins after this call. */
-  ask(): Promise<Result> {
+  call(): Promise<Result> {
     if (this.#current === null) return this.#start();
     this.#next ??= this.#startAfter(this.#current);
     return this.#next;
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -6,7 +6,7 @@
 import { digestDatabases, fromDocument, toDocument } from '../configuration/configuration-document.js';
 import type { Configuration, DatabaseConfiguration } from '../configuration/configuration.js';
 import { ConfigurationStore } from '../configuration/configuration-store.js';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import { policySubject } from '../engine/policy-subject.js';
 import { ClientServer } from '../entry/client-server.js';
 import { RequestRouter, type RequestTarget } from '../entry/request-router.js';
@@ -17,7 +17,7 @@
 import type { PeerRecord } from '../membership/peer-record.js';
 import { EngineMetrics } from '../observability/engine-metrics.js';
 import type { Logger } from '../observability/logger.js';
-import { CONTROL_TICK_MS, DatabaseController } from '../ownership/database-controller.js';
+import { CONTROL_TICK_INTERVAL_MS, DatabaseController } from '../ownership/database-controller.js';
 import { rankCandidates } from '../ownership/candidate-ranking.js';
 import { RankTable } from '../ownership/rank-table.js';
 import { PeerLinks } from '../peer/peer-links.js';
@@ -87,7 +87,7 @@
     this.#machines.start();
     this.#gossip.start();
     this.#configuration.start();
-    this.#controlTimer = setInterval(() => this.#tick(), CONTROL_TICK_MS);
+    this.#controlTimer = setInterval(() => this.#tick(), CONTROL_TICK_INTERVAL_MS);
     await this.#clientServer.listen(listen.client.host, listen.client.port);
     this.log.info({ daemon: daemon.id, zone: daemon.zone, port: listen.client.port }, 'daemon_started');
   }
@@ -98,7 +98,7 @@
     const { drainTimeoutMs } = this.settings.timing;
     this.log.info({ drainTimeoutMs }, 'drain_started');
     this.#table.updateOwn({ state: 'leaving' });
-    this.#gossip.spreadNow();
+    this.#gossip.disseminateNow();
     const handedOver = Promise.all([...this.#controllers.values()].map((c) => c.stop(drainTimeoutMs)));
     const cutClients = await this.#clientServer.drain(drainTimeoutMs);
     const cut = (await handedOver).reduce((total, count) => total + count, cutClients);
@@ -125,12 +125,12 @@
       clientConnections: this.#clientServer.connectionCount,
       peerLinks: this.#links.size,
       pendingNews: this.#table.pendingNews,
-      peerTrafficBytes: this.#links.traffic + this.#peerServer.traffic,
+      peerTrafficBytes: this.#links.trafficBytes + this.#peerServer.trafficBytes,
       memberControlBytes: [...this.#controllers.values()].reduce(
-        (sum, { controlTraffic }) => sum + controlTraffic,
+        (sum, { controlTrafficBytes: controlTraffic }) => sum + controlTraffic,
         0,
       ),
-      platformTrafficBytes: this.#machines.traffic,
+      platformTrafficBytes: this.#machines.trafficBytes,
       peers: this.#table.all.map((record) => this.#peerStatus(record)),
       databases: [...this.#controllers.values()].map((controller) =>
         describeDatabase(controller, this.#table.ownerOf(controller.database.name)?.daemonId ?? null),
@@ -243,7 +243,7 @@
     const { settings } = this;
     const router = new RequestRouter({
       targets: (database) => this.#targets(database),
-      decide: (request) => this.#decide(request),
+      evaluatePolicy: (request) => this.#decide(request),
       hasPausedSince: (sinceMs) => this.#clientServer.hasPausedSince(sinceMs),
       random: this.random,
     });
@@ -287,7 +287,7 @@
       reply({ kind: 'configurationReply', version, document });
       return;
     }
-    this.#gossip.handleIncoming(message, reply);
+    this.#gossip.handleRequest(message, reply);
   }
 
   #handleAnswer(daemonId: string, message: PeerMessage): void {
@@ -297,14 +297,14 @@
       this.#configuration.receiveFromPeer(daemonId, version, configuration);
       return;
     }
-    this.#gossip.handleAnswer(daemonId, message);
+    this.#gossip.handleReply(daemonId, message);
   }
 
   #askConfiguration(daemonId: string, documentIfNewerThan: number | null): void {
     const record = this.#table.find(daemonId);
     if (record !== null) {
       const databasesDigest = digestDatabases(this.#configuration.current);
-      this.#links.to(record).tell({ kind: 'configurationRequest', documentIfNewerThan, databasesDigest });
+      this.#links.linkTo(record).send({ kind: 'configurationRequest', documentIfNewerThan, databasesDigest });
     }
   }
 
@@ -327,7 +327,7 @@
       .ifLeft((problems) => this.log.error({ version: configuration.version, problems }, 'policy_unreadable'))
       .ifRight((policy) => (this.#policy = policy));
     this.#applyDatabases(configuration.databases);
-    this.#gossip.spreadNow();
+    this.#gossip.disseminateNow();
   }
 
   #applyDatabases(databases: readonly DatabaseConfiguration[]): void {
@@ -384,7 +384,7 @@
   #publishOwnership(): void {
     const owned = [...this.#controllers.values()].filter(({ engine }) => engine !== null);
     this.#table.updateOwn({ ownedDatabases: owned.map(({ database }) => database.name) });
-    this.#gossip.spreadNow();
+    this.#gossip.disseminateNow();
   }
 
   // --- requests
@@ -407,10 +407,10 @@
     const record = this.#table.find(daemonId);
     return record === null || record.state === 'dead'
       ? null
-      : new RemoteTarget(daemonId, this.#links.to(record));
+      : new RemoteTarget(daemonId, this.#links.linkTo(record));
   }
 
-  #executeLocally(request: StatementRequest, sink: AnswerSink, isAwaited: () => boolean): void {
+  #executeLocally(request: StatementRequest, sink: ResponseSink, isAwaited: () => boolean): void {
     const engine = this.#controllers.get(request.database)?.engine ?? null;
     if (engine === null) sink.notOwner();
     else void engine.execute(request, sink, isAwaited);
--- a/src/daemon/request-targets.ts
+++ b/src/daemon/request-targets.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 import type { DatabaseEngine } from '../engine/database-engine.js';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import type { RequestTarget } from '../entry/request-router.js';
 import type { PeerLink } from '../peer/peer-link.js';
 
@@ -15,7 +15,7 @@
     private readonly findEngine: (database: string) => DatabaseEngine | null,
   ) {}
 
-  forward(request: StatementRequest, sink: AnswerSink & { lost(): void }, isAwaited: () => boolean): void {
+  forward(request: StatementRequest, sink: ResponseSink & { lost(): void }, isAwaited: () => boolean): void {
     const engine = this.findEngine(request.database);
     if (engine === null) sink.notOwner();
     else void engine.execute(request, sink, isAwaited);
@@ -37,15 +37,15 @@
     private readonly link: PeerLink,
   ) {}
 
-  forward(request: StatementRequest, sink: AnswerSink & { lost(): void }): void {
+  forward(request: StatementRequest, sink: ResponseSink & { lost(): void }): void {
     this.link.forward(request, sink);
   }
 
   closeStream(database: string, streamId: string): void {
-    this.link.tellOfRequest({ kind: 'closeStream', database, streamId });
+    this.link.sendAboutRequest({ kind: 'closeStream', database, streamId });
   }
 
   cancel(database: string, streamId: string): void {
-    this.link.tellOfRequest({ kind: 'cancel', database, streamId });
+    this.link.sendAboutRequest({ kind: 'cancel', database, streamId });
   }
 }
--- a/src/engine/attempt.ts
+++ b/src/engine/attempt.ts
@@ -99,7 +99,7 @@
 /** Discards the session state (settings, locks, prepared statements) that a caller left on a connection. */
 export function discardSessionState(connection: MemberConnection): void {
   connection.settingsSignature = '';
-  connection.preparedNames.clear();
+  connection.preparedStatementNames.clear();
   void submitInternal(connection, 'DISCARD ALL');
 }
 
--- a/src/engine/batch-plan.ts
+++ b/src/engine/batch-plan.ts
@@ -6,7 +6,12 @@
  */
 import type { MemberConnection } from '../member/member-connection.js';
 import { ReplyPlan, type ReplyStep } from '../member/reply-plan.js';
-import { buildObjectMessage, buildParse, readObjectReference, readParse } from '../wire/frontend-messages.js';
+import {
+  buildDescribeOrClose,
+  buildParse,
+  readDescribeOrClose,
+  readParse,
+} from '../wire/frontend-messages.js';
 import { asBuffer } from '../wire/as-buffer.js';
 import { FrameSplitter } from '../wire/frame-splitter.js';
 import { FrontendType } from '../wire/message-types.js';
@@ -26,7 +31,7 @@
   const builder = new BatchBuilder(connection);
   builder.evictPrepared(request.prepared.length);
   for (const reference of request.prepared) {
-    if (connection.preparedNames.has(reference.name)) continue;
+    if (connection.preparedStatementNames.has(reference.name)) continue;
     const typesPart = asBuffer(reference.typesPart);
     builder.add(
       buildParse({ name: reference.name, text: reference.text, typesPart }),
@@ -50,7 +55,7 @@
    * Closes the oldest prepared statements when `additionalCount` more would exceed the connection's limit.
    */
   evictPrepared(additionalCount: number): void {
-    const { preparedNames } = this.connection;
+    const { preparedStatementNames: preparedNames } = this.connection;
     for (const name of preparedNames) {
       if (preparedNames.size + additionalCount <= MAX_PREPARED_STATEMENTS_PER_CONNECTION) return;
       this.#closeStatement(name);
@@ -85,7 +90,7 @@
   }
 
   build(): BatchPlan {
-    const { preparedNames } = this.connection;
+    const { preparedStatementNames: preparedNames } = this.connection;
     const plan = new ReplyPlan(this.#steps, (name) => preparedNames.add(name));
     return { bytes: Buffer.concat(this.#frames), plan };
   }
@@ -93,25 +98,25 @@
   /** Closes an existing statement of the same name first: the member would reject a second Parse for it. */
   #addParse(frame: Buffer): void {
     const { name } = readParse(frame);
-    if (this.connection.preparedNames.has(name)) this.#closeStatement(name);
+    if (this.connection.preparedStatementNames.has(name)) this.#closeStatement(name);
     this.add(frame, 'parse', false, name);
   }
 
   #addDescribe(frame: Buffer): void {
-    const { kind } = readObjectReference(frame);
+    const { kind } = readDescribeOrClose(frame);
     if (kind === 'statement') this.add(frame, 'describeStatement', false);
     if (kind === 'statement') this.#steps.push({ kind: 'describeRows', isHidden: false, statementName: '' });
     else this.add(frame, 'describeRows', false);
   }
 
   #addClose(frame: Buffer): void {
-    const { kind, name } = readObjectReference(frame);
-    if (kind === 'statement') this.connection.preparedNames.delete(name);
+    const { kind, name } = readDescribeOrClose(frame);
+    if (kind === 'statement') this.connection.preparedStatementNames.delete(name);
     this.add(frame, 'close', false);
   }
 
   #closeStatement(name: string): void {
-    this.connection.preparedNames.delete(name);
-    this.add(buildObjectMessage(FrontendType.close, { kind: 'statement', name }), 'close', true);
+    this.connection.preparedStatementNames.delete(name);
+    this.add(buildDescribeOrClose(FrontendType.close, { kind: 'statement', name }), 'close', true);
   }
 }
--- a/src/engine/connection-selector.ts
+++ b/src/engine/connection-selector.ts
@@ -3,7 +3,7 @@
  *
  * @packageDocumentation
  */
-import { selectMember, type SelectionDemand, type WaitReason } from '../group/select-member.js';
+import { selectMember, type SelectionDemand, type WaitReason } from '../group/select-replica-or-primary.js';
 import type { AcquireRefusal, MemberPool } from '../pool/member-pool.js';
 import { backoffDelayMs } from '../retry/backoff.js';
 import { SqlState } from '../verdict/verdict.js';
--- a/src/engine/database-engine.ts
+++ b/src/engine/database-engine.ts
@@ -22,7 +22,7 @@
 import { ConnectionSelector } from './connection-selector.js';
 import { policySubject } from './policy-subject.js';
 import { RequestRunner } from './request-runner.js';
-import type { AnswerSink, StatementRequest } from './statement-request.js';
+import type { ResponseSink, StatementRequest } from './statement-request.js';
 import { ClientStream, type PinnedConnection } from './client-stream.js';
 
 /** Settings of an engine; times in milliseconds. */
@@ -103,7 +103,7 @@
    * @param isAwaited - checked directly before the request is sent to a member; when it returns false, the
    *   sender may have stopped waiting and the request is refused
    */
-  async execute(request: StatementRequest, sink: AnswerSink, isAwaited: () => boolean): Promise<void> {
+  async execute(request: StatementRequest, sink: ResponseSink, isAwaited: () => boolean): Promise<void> {
     const stream = this.#findOrCreateStream(request);
     if (!this.#mayServe(stream)) {
       this.#rejectWithoutLease(stream, sink);
@@ -199,7 +199,7 @@
     for (const pool of this.#pools.values()) pool.close();
   }
 
-  #refuseBeforeStart(sink: AnswerSink, stream: ClientStream, refusal: Refusal): void {
+  #refuseBeforeStart(sink: ResponseSink, stream: ClientStream, refusal: Refusal): void {
     refuse(this.#context, sink, stream, refusal);
     if (stream.pinned === null) this.#streams.delete(stream.streamId);
   }
@@ -223,7 +223,7 @@
     return !this.#isDraining || stream.pinned !== null;
   }
 
-  #rejectWithoutLease(stream: ClientStream, sink: AnswerSink): void {
+  #rejectWithoutLease(stream: ClientStream, sink: ResponseSink): void {
     if (stream.pinned === null) {
       sink.notOwner();
       return;
--- a/src/engine/execution.ts
+++ b/src/engine/execution.ts
@@ -10,7 +10,7 @@
 import type { RetryBudget } from '../retry/retry-budget.js';
 import type { SessionPositions } from '../session/session-positions.js';
 import { RequestError, SqlState, type SqlStateCode } from '../verdict/verdict.js';
-import type { AnswerSink, StatementRequest } from './statement-request.js';
+import type { ResponseSink, StatementRequest } from './statement-request.js';
 import type { ClientStream } from './client-stream.js';
 
 /** A request that is being executed. */
@@ -20,7 +20,7 @@
   readonly decision: PolicyDecision;
   /** Monotonic deadline of the request, in milliseconds. */
   readonly deadlineMs: number;
-  sink: AnswerSink;
+  sink: ResponseSink;
   /** False once the sender may have stopped waiting for the request; it must not be started after that. */
   readonly isAwaited: () => boolean;
   /** Members excluded from selection because a recent attempt on them failed. */
@@ -59,7 +59,7 @@
 /** Refuses a request before any part of it has run. */
 export function refuse(
   context: EngineContext,
-  sink: AnswerSink,
+  sink: ResponseSink,
   stream: ClientStream,
   refusal: Refusal,
 ): void {
--- a/src/engine/doubtful-sink.ts
+++ b/src/engine/indeterminate-outcome-sink.ts
@@ -4,13 +4,13 @@
  * @packageDocumentation
  */
 import { RequestError, SqlState } from '../verdict/verdict.js';
-import type { AnswerSink } from './statement-request.js';
+import type { ResponseSink } from './statement-request.js';
 
 /**
  * Wraps a sink after the connection of an attempt was lost. A verdict of `not_run` from a later attempt holds
  * for that attempt only, so it is reported as `may_have_run` for the request as a whole.
  */
-export function doubtfulSink<Sink extends AnswerSink>(sink: Sink): Sink {
+export function indeterminateOutcomeSink<Sink extends ResponseSink>(sink: Sink): Sink {
   return {
     ...sink,
     data: (frames) => sink.data(frames),
--- a/src/engine/request-runner.ts
+++ b/src/engine/request-runner.ts
@@ -8,7 +8,7 @@
 import { SqlState, type SqlStateCode } from '../verdict/verdict.js';
 import { runAttempt, type AttemptOutcome } from './attempt.js';
 import { CommitAcknowledger, type CompleteOutcome } from './commit-acknowledger.js';
-import { doubtfulSink } from './doubtful-sink.js';
+import { indeterminateOutcomeSink } from './indeterminate-outcome-sink.js';
 import { ATTEMPT_BACKOFF, delay, type EngineContext, type Execution } from './execution.js';
 import type { StatementRequest } from './statement-request.js';
 import type { PinnedConnection, ClientStream } from './client-stream.js';
@@ -134,7 +134,7 @@
     const isCanceledOrStopped = stream.cancelSignal.isCanceled || this.context.isStopped();
     if (judgement.kind === 'mayRetry' && !isCanceledOrStopped && this.context.retryBudget.tryRetry()) {
       this.context.metrics.retries.inc({ database: this.context.database });
-      execution.sink = doubtfulSink(execution.sink);
+      execution.sink = indeterminateOutcomeSink(execution.sink);
       if (memberId !== undefined && request.kind === 'read') execution.excludedMemberIds.add(memberId);
       return 'again';
     }
--- a/src/engine/statement-request.ts
+++ b/src/engine/statement-request.ts
@@ -51,7 +51,7 @@
 }
 
 /** Receives the response to a request. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** Passes on complete protocol messages of the response, without ReadyForQuery. */
   data(frames: Buffer): void;
   /** Called when the response is complete. */
--- a/src/entry/client-connection.test.ts
+++ b/src/entry/client-connection.test.ts
@@ -13,7 +13,7 @@
 import { serialize } from 'pg-protocol';
 import { errorField, RawClient } from '../../test/support/raw-client.js';
 import { waitUntil } from '../../standin/rig/wait-until.js';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import type { PolicyDecision } from '../policy/policy.js';
 import { ClientConnection } from './client-connection.js';
 import { RequestRouter } from './request-router.js';
@@ -33,20 +33,20 @@
 let connection: ClientConnection;
 let mayInputPredatePause: boolean;
 /** Requests that were forwarded to the owner, and the sinks for their responses. */
-let forwarded: { readonly request: StatementRequest; readonly sink: AnswerSink }[];
+let forwarded: { readonly request: StatementRequest; readonly sink: ResponseSink }[];
 
 beforeEach(async () => {
   forwarded = [];
   mayInputPredatePause = false;
   const owner = {
     daemonId: 'owner',
-    forward: (request: StatementRequest, sink: AnswerSink) => void forwarded.push({ request, sink }),
+    forward: (request: StatementRequest, sink: ResponseSink) => void forwarded.push({ request, sink }),
     closeStream: () => undefined,
     cancel: () => undefined,
   };
   const router = new RequestRouter({
     targets: () => [owner],
-    decide: () => DECISION,
+    evaluatePolicy: () => DECISION,
     hasPausedSince: () => false,
     random: () => 0.5,
   });
@@ -75,7 +75,7 @@
 });
 
 /** Sends a query and waits until it was forwarded to the owner. */
-async function sendQuery(text: string): Promise<AnswerSink> {
+async function sendQuery(text: string): Promise<ResponseSink> {
   const count = forwarded.length;
   client.socket.write(serialize.query(text));
   await waitUntil('the owner to receive the request', () => forwarded.length > count);
--- a/src/entry/client-connection.ts
+++ b/src/entry/client-connection.ts
@@ -5,7 +5,7 @@
  */
 import type { Socket } from 'node:net';
 import { CancelSignal } from '../common/cancel-signal.js';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import type { RequestTags } from '../statement/request-tags.js';
 import { judgeLoss } from '../verdict/judge-loss.js';
 import { RequestError, SqlState } from '../verdict/verdict.js';
@@ -226,7 +226,7 @@
 
   async #route(request: ClientRequest): Promise<void> {
     this.#cancelSignal = new CancelSignal();
-    const sink: AnswerSink = {
+    const sink: ResponseSink = {
       data: (frames) => this.#write(frames),
       end: (status) => this.#handleEnd(status, request),
       fail: (error, status) => this.#handleFailure(error, status, request),
--- a/src/entry/client-server.ts
+++ b/src/entry/client-server.ts
@@ -5,7 +5,7 @@
  */
 import { randomInt } from 'node:crypto';
 import { createServer, type Server, type Socket } from 'node:net';
-import { readStartupTags } from '../statement/request-tags.js';
+import { parseStartupTags } from '../statement/request-tags.js';
 import { RequestError, SqlState } from '../verdict/verdict.js';
 import {
   authenticationOk,
@@ -119,7 +119,7 @@
     if (this.#isCountingIterations) return;
     this.#isCountingIterations = true;
     const onIteration = (): void => {
-      if (this.#pauseDetector.passed()) setImmediate(onIteration);
+      if (this.#pauseDetector.completeIteration()) setImmediate(onIteration);
       else this.#isCountingIterations = false;
     };
     setImmediate(onIteration);
@@ -209,7 +209,7 @@
         streamId: `${daemonId}/${processId}/${secretKey}`,
         database: parameters.get('database') ?? user,
         user,
-        tags: readStartupTags(parameters),
+        tags: parseStartupTags(parameters),
       },
       zone,
       router,
--- a/src/entry/lost-transaction.ts
+++ b/src/entry/lost-transaction.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 import { commandComplete, emptyMessage, parameterDescription } from '../wire/backend-messages.js';
-import { readObjectReference } from '../wire/frontend-messages.js';
+import { readDescribeOrClose } from '../wire/frontend-messages.js';
 import { BackendType, FrontendType } from '../wire/message-types.js';
 
 /** Builds the response to a COMMIT or ROLLBACK, as a server gives it when it rolls the transaction back. */
@@ -25,7 +25,7 @@
       return emptyMessage(BackendType.closeComplete);
     case FrontendType.describe: {
       const noData = emptyMessage(BackendType.noData);
-      if (readObjectReference(frame).kind === 'portal') return noData;
+      if (readDescribeOrClose(frame).kind === 'portal') return noData;
       return Buffer.concat([parameterDescription([]), noData]);
     }
     default:
--- a/src/entry/owner-reachability.ts
+++ b/src/entry/owner-circuit-breaker.ts
@@ -7,12 +7,12 @@
  */
 
 /** Settings; times in milliseconds. */
-export interface OwnerReachabilityOptions {
+export interface OwnerCircuitBreakerOptions {
   /**
    * Time without a response after which requests are rejected immediately; longer than a change of owner
    * takes.
    */
-  readonly giveUpAfterMs: number;
+  readonly openAfterMs: number;
   /** Time between requests that are let through to probe whether an owner is reachable again. */
   readonly probeIntervalMs: number;
 }
@@ -23,13 +23,13 @@
 }
 
 /** Tracks the outages by database. */
-export class OwnerReachability {
+export class OwnerCircuitBreaker {
   readonly #outages = new Map<string, Outage>();
 
-  constructor(private readonly options: OwnerReachabilityOptions) {}
+  constructor(private readonly options: OwnerCircuitBreakerOptions) {}
 
   /** True when a request may search for an owner: no long outage is known, or a probe is due. */
-  mayTry(database: string, nowMs: number): boolean {
+  allowRequest(database: string, nowMs: number): boolean {
     const outage = this.#outages.get(database);
     if (outage === undefined || !this.#isOpen(outage, nowMs)) return true;
     if (nowMs < outage.nextProbeMs) return false;
@@ -50,6 +50,6 @@
   }
 
   #isOpen(outage: Outage, nowMs: number): boolean {
-    return nowMs - outage.sinceMs >= this.options.giveUpAfterMs;
+    return nowMs - outage.sinceMs >= this.options.openAfterMs;
   }
 }
--- a/src/entry/pause-detector.test.ts
+++ b/src/entry/pause-detector.test.ts
@@ -20,9 +20,9 @@
   // A timer detects the pause; because the machine is busy, the first socket is read only 600 ms later.
   assert.equal(detector.tick(2000), true);
   assert.equal(detector.tick(2600), true);
-  assert.equal(detector.passed(), true);
+  assert.equal(detector.completeIteration(), true);
   assert.equal(detector.tick(2700), true);
-  assert.equal(detector.passed(), false);
+  assert.equal(detector.completeIteration(), false);
   assert.equal(detector.tick(2800), false);
 });
 
--- a/src/entry/pause-detector.ts
+++ b/src/entry/pause-detector.ts
@@ -60,7 +60,7 @@
    * Records the end of an event-loop iteration, which has read everything that had arrived when it began;
    * returns true while another iteration has to be awaited.
    */
-  passed(): boolean {
+  completeIteration(): boolean {
     if (this.#iterationsLeft > 0) this.#iterationsLeft -= 1;
     return this.#iterationsLeft > 0;
   }
--- a/src/entry/request-builder.ts
+++ b/src/entry/request-builder.ts
@@ -6,13 +6,13 @@
 import { createHash } from 'node:crypto';
 import type { PreparedReference } from '../engine/statement-request.js';
 import { classify, combineClassifications } from '../statement/classify.js';
-import { NO_TAGS, readTags, withDefaultTags, type RequestTags } from '../statement/request-tags.js';
+import { NO_TAGS, parseTags, withDefaultTags, type RequestTags } from '../statement/request-tags.js';
 import type { StatementClassification } from '../statement/statement-kind.js';
 import {
-  buildObjectMessage,
+  buildDescribeOrClose,
   buildParse,
   readBindStatement,
-  readObjectReference,
+  readDescribeOrClose,
   readParse,
   readQueryText,
   renameBindStatement,
@@ -71,7 +71,7 @@
   }
 
   #buildQuery(frame: Buffer): ClientRequest {
-    const { text, tags } = readTags(readQueryText(frame));
+    const { text, tags } = parseTags(readQueryText(frame));
     return {
       frames: frame,
       terminator: 'query',
@@ -124,7 +124,7 @@
 
   #rewriteParse(frame: Buffer, batch: BatchStatements): Buffer {
     const parse = readParse(frame);
-    const { text, tags } = readTags(parse.text);
+    const { text, tags } = parseTags(parse.text);
     const name = preparedStatementName(text, parse.typesPart);
     const statement = {
       reference: { name, text, typesPart: Buffer.from(parse.typesPart) },
@@ -148,13 +148,13 @@
   }
 
   #rewriteDescribeOrClose(frame: Buffer, batch: BatchStatements): Buffer {
-    const { kind, name } = readObjectReference(frame);
+    const { kind, name } = readDescribeOrClose(frame);
     if (kind === 'portal') return frame;
     const statement = this.#statements.get(name);
     if (statement === undefined) return frame;
     if (frame[0] === FrontendType.close) this.#statements.delete(name);
     else batch.addReference(statement);
-    return buildObjectMessage(frame[0] ?? 0, { kind, name: statement.reference.name });
+    return buildDescribeOrClose(frame[0] ?? 0, { kind, name: statement.reference.name });
   }
 }
 
--- a/src/entry/request-router.test.ts
+++ b/src/entry/request-router.test.ts
@@ -55,7 +55,7 @@
   let attempts = 0;
   const router = new RequestRouter({
     targets: () => [target('d1', attempts++ === 0 ? first : others)],
-    decide: () => ({ ...DEFAULT_DECISION, deadlineMs: 30 }),
+    evaluatePolicy: () => ({ ...DEFAULT_DECISION, deadlineMs: 30 }),
     hasPausedSince: () => false,
     random: () => 0.5,
   });
@@ -90,7 +90,7 @@
 test('a statement of an open transaction whose daemon was lost is reported as not run', async () => {
   const router = new RequestRouter({
     targets: () => [],
-    decide: () => DEFAULT_DECISION,
+    evaluatePolicy: () => DEFAULT_DECISION,
     hasPausedSince: () => false,
     random: () => 0.5,
   });
@@ -130,7 +130,7 @@
   };
   const router = new RequestRouter({
     targets: () => [first, second],
-    decide: () => DEFAULT_DECISION,
+    evaluatePolicy: () => DEFAULT_DECISION,
     hasPausedSince: () => hasPaused,
     random: () => 0.5,
   });
@@ -161,7 +161,7 @@
   };
   const router = new RequestRouter({
     targets: () => [only],
-    decide: () => DEFAULT_DECISION,
+    evaluatePolicy: () => DEFAULT_DECISION,
     hasPausedSince: () => hasPaused,
     random: () => 0.5,
   });
--- a/src/entry/request-router.ts
+++ b/src/entry/request-router.ts
@@ -4,10 +4,10 @@
  * @packageDocumentation
  */
 import type { CancelSignal } from '../common/cancel-signal.js';
-import { doubtfulSink } from '../engine/doubtful-sink.js';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import { indeterminateOutcomeSink } from '../engine/indeterminate-outcome-sink.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import type { PolicyDecision } from '../policy/policy.js';
-import { OwnerReachability } from './owner-reachability.js';
+import { OwnerCircuitBreaker } from './owner-circuit-breaker.js';
 import { backoffDelayMs } from '../retry/backoff.js';
 import { RetryBudget } from '../retry/retry-budget.js';
 import { judgeLoss } from '../verdict/judge-loss.js';
@@ -18,7 +18,7 @@
 export interface RequestTarget {
   readonly daemonId: string;
   /** @param isAwaited - called right before the request is started; on `false` it must not be started */
-  forward(request: StatementRequest, sink: AnswerSink & { lost(): void }, isAwaited: () => boolean): void;
+  forward(request: StatementRequest, sink: ResponseSink & { lost(): void }, isAwaited: () => boolean): void;
   closeStream(database: string, streamId: string): void;
   cancel(database: string, streamId: string): void;
 }
@@ -27,7 +27,7 @@
 export interface RequestRouterDependencies {
   /** Daemons to try for a database, the most likely owner first. */
   targets(database: string): readonly RequestTarget[];
-  decide(request: StatementRequest): PolicyDecision;
+  evaluatePolicy(request: StatementRequest): PolicyDecision;
   /**
    * True when this process was paused after `sinceMs` (monotonic, in milliseconds): clients may have given up
    * in the meantime.
@@ -48,7 +48,7 @@
 interface RoutingState {
   readonly request: StatementRequest;
   readonly binding: StreamBinding;
-  sink: AnswerSink;
+  sink: ResponseSink;
   readonly isInTransaction: boolean;
   readonly decision: PolicyDecision;
   readonly routedAtMs: number;
@@ -63,7 +63,7 @@
 /** Routes requests, and searches for the owner where it is not known. */
 export class RequestRouter {
   readonly #retryBudget = new RetryBudget({ retriesPerRequest: 0.1, maxSaved: 100 });
-  readonly #circuitBreaker = new OwnerReachability({ giveUpAfterMs: 5000, probeIntervalMs: 250 });
+  readonly #circuitBreaker = new OwnerCircuitBreaker({ openAfterMs: 5000, probeIntervalMs: 250 });
 
   constructor(private readonly dependencies: RequestRouterDependencies) {}
 
@@ -77,9 +77,9 @@
     status: TransactionStatus,
     binding: StreamBinding,
     signal: CancelSignal,
-    sink: AnswerSink,
+    sink: ResponseSink,
   ): Promise<void> {
-    const decision = this.dependencies.decide(request);
+    const decision = this.dependencies.evaluatePolicy(request);
     const routedAtMs = performance.now();
     const routing: RoutingState = {
       request,
@@ -112,7 +112,7 @@
 
   async #searchForOwner(routing: RoutingState): Promise<void> {
     const { database } = routing.request;
-    if (!this.#circuitBreaker.mayTry(database, performance.now())) {
+    if (!this.#circuitBreaker.allowRequest(database, performance.now())) {
       const message = 'no owner of the database has been in reach for a while; try another daemon';
       this.#failNotRun(routing, SqlState.cannotConnectNow, message, RETRY_AFTER_NO_OWNER_MS);
       return;
@@ -207,7 +207,7 @@
       'the daemon that ran the request was lost',
     );
     if (judgement.kind === 'mayRetry' && this.#retryBudget.tryRetry()) {
-      routing.sink = doubtfulSink(sink);
+      routing.sink = indeterminateOutcomeSink(sink);
       return 'mayRetry';
     }
     const report = judgement.kind === 'report' ? judgement.report : judgement.otherwise;
--- a/src/gateway/gateway-client.ts
+++ b/src/gateway/gateway-client.ts
@@ -8,7 +8,7 @@
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { EvidenceReader, type SharedEvidence } from '../leadership/evidence-exchange.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
-import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
+import type { ConfigurationLeaseReply } from '../tenancy/lease-renewal.js';
 import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import { MessageChannel } from '../peer/message-channel.js';
@@ -53,7 +53,7 @@
 type PeerReply =
   | { readonly type: 'evidence'; readonly entries: readonly SharedEvidence[] }
   | { readonly type: 'changes'; readonly answer: RelayResponse }
-  | { readonly type: 'configuration'; readonly answer: PassedConfiguration }
+  | { readonly type: 'configuration'; readonly answer: ConfigurationLeaseReply }
   | { readonly type: 'grant'; readonly grant: Grant | null }
   | null;
 
@@ -307,7 +307,7 @@
     record: DaemonRecord,
     heldVersion: number,
     timeoutMs: number,
-  ): Promise<PassedConfiguration | null> {
+  ): Promise<ConfigurationLeaseReply | null> {
     if (this.#isUnresponsive(record)) return null;
     const reply = await this.#request(record, { type: 'ask_configuration', heldVersion }, timeoutMs);
     return reply?.type === 'configuration' ? reply.answer : null;
--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -13,7 +13,7 @@
 import type { MemberReply, MemberRequest } from '../relay/member-link.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
 import type { PreparedStatement } from '../relay/statement.js';
-import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
+import type { ConfigurationLeaseReply } from '../tenancy/lease-renewal.js';
 
 /** Starts a loan; nothing is sent to the member yet. */
 export interface BorrowMessage {
@@ -136,7 +136,7 @@
 export interface ConfigurationReplyMessage {
   readonly type: 'configuration';
   readonly id: number;
-  readonly answer: PassedConfiguration;
+  readonly answer: ConfigurationLeaseReply;
 }
 
 /** Requests a grant of operations from a tenant's quota home or its stand-in. */
--- a/src/gateway/gateway-server.ts
+++ b/src/gateway/gateway-server.ts
@@ -6,7 +6,7 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import type { EvidenceReply } from '../leadership/evidence-exchange.js';
 import type { Grant, GrantRequest } from '../quota/quota-home.js';
-import type { PassedConfiguration } from '../tenancy/lease-renewal.js';
+import type { ConfigurationLeaseReply } from '../tenancy/lease-renewal.js';
 import type { RelayResponse } from '../coordination/change-relay.js';
 import type { Revision } from '../coordination/revision.js';
 import { MessageChannel } from '../peer/message-channel.js';
@@ -27,7 +27,7 @@
   /** The changes of the store after a revision that this daemon knows; waits up to `waitMs` for one. */
   changes(afterRevision: Revision, waitMs: number): Promise<RelayResponse>;
   /** This daemon's knowledge of the newest configuration, for a requester that holds a version of it. */
-  configuration(heldVersion: number): PassedConfiguration;
+  configuration(heldVersion: number): ConfigurationLeaseReply;
   /** Grants operations of a tenant; `null` if this daemon is not responsible for the tenant's quota. */
   grant(request: GrantRequest): Promise<Grant | null>;
 }
--- a/src/gateway/status-questions.ts
+++ b/src/gateway/status-questions.ts
@@ -3,7 +3,7 @@
  *
  * @packageDocumentation
  */
-import { SharedQuestion } from '../common/shared-question.js';
+import { CoalescedCall } from '../common/coalesced-call.js';
 import type { LinkPool } from '../relay/link-pool.js';
 import type { MemberReply } from '../relay/member-link.js';
 
@@ -14,7 +14,7 @@
 
 /** Sends concurrent status requests to a member as one. */
 export class StatusQuestions {
-  readonly #requests = new WeakMap<LinkPool, SharedQuestion<MemberReply>>();
+  readonly #requests = new WeakMap<LinkPool, CoalescedCall<MemberReply>>();
 
   /**
    * Requests the status of the pool's member. The reply is to a request sent after this call.
@@ -24,10 +24,10 @@
   ask(pool: LinkPool): Promise<MemberReply> {
     let request = this.#requests.get(pool);
     if (request === undefined) {
-      request = new SharedQuestion(() => requestStatus(pool));
+      request = new CoalescedCall(() => requestStatus(pool));
       this.#requests.set(pool, request);
     }
-    return request.ask();
+    return request.call();
   }
 }
 
--- a/src/group/group-monitor.ts
+++ b/src/group/group-monitor.ts
@@ -107,7 +107,7 @@
   /** Number of bytes sent and received on the control connections. */
   get controlTrafficBytes(): number {
     let bytes = 0;
-    for (const { monitor } of this.#members.values()) bytes += monitor.traffic;
+    for (const { monitor } of this.#members.values()) bytes += monitor.trafficBytes;
     return bytes;
   }
 
--- a/src/index.ts
+++ b/src/index.ts
@@ -21,7 +21,7 @@
   type Selection,
   type SelectionDemand,
   type WaitReason,
-} from './group/select-member.js';
+} from './group/select-replica-or-primary.js';
 export { StalenessEstimator } from './group/staleness.js';
 export { MembershipTable, type MembershipTableOptions } from './membership/membership-table.js';
 export { supersedes, type PeerRecord, type PeerState } from './membership/peer-record.js';
--- a/src/leadership/member-control.ts
+++ b/src/leadership/member-control.ts
@@ -14,7 +14,7 @@
 import type { LinkDemand } from '../relay/link-queue.js';
 import type { PooledLink } from '../relay/pooled-link.js';
 import type { SessionLink } from '../relay/session-link.js';
-import { NO_TENANT } from '../tenancy/tenant-register.js';
+import { NO_TENANT } from '../tenancy/tenant-registry.js';
 import type { Member } from '../topology/member-group.js';
 
 /**
--- a/src/machines/machine-list.ts
+++ b/src/machines/machine-list.ts
@@ -24,7 +24,7 @@
 /** Polls the list and caches the last response. */
 export class MachineList {
   /** Bytes of requests and responses so far, without the overhead of the protocols below HTTP. */
-  traffic = 0;
+  trafficBytes = 0;
   #machines: readonly Machine[] = [];
   #entityTag: string | null = null;
   #timer: NodeJS.Timeout | null = null;
@@ -47,7 +47,7 @@
     if (this.http === null) return;
     try {
       const response = await requestIfChanged(this.http, '/v1/machines', this.#entityTag);
-      this.traffic += response.bytes;
+      this.trafficBytes += response.bytes;
       if (response.kind === 'changed') this.#updateMachines(response.body, response.entityTag);
       this.onResponse();
     } catch {
--- a/src/member/member-connection.ts
+++ b/src/member/member-connection.ts
@@ -66,7 +66,7 @@
 /** An open connection; responses arrive in the order in which the exchanges were submitted. */
 export class MemberConnection {
   /** Names of the statements prepared on this connection. */
-  readonly preparedNames = new Set<string>();
+  readonly preparedStatementNames = new Set<string>();
   /** SET statements currently applied, joined; `null` when unknown. */
   settingsSignature: string | null = '';
   /** Called once when the connection has ended. */
@@ -101,7 +101,7 @@
   }
 
   /** Bytes sent and received so far. */
-  get traffic(): number {
+  get trafficBytes(): number {
     return this.socket.bytesRead + this.socket.bytesWritten;
   }
 
--- a/src/member/member-monitor.ts
+++ b/src/member/member-monitor.ts
@@ -56,8 +56,8 @@
   ) {}
 
   /** Bytes sent and received so far. */
-  get traffic(): number {
-    return this.#closedTrafficBytes + (this.#connection?.traffic ?? 0);
+  get trafficBytes(): number {
+    return this.#closedTrafficBytes + (this.#connection?.trafficBytes ?? 0);
   }
 
   /** Starts monitoring. */
@@ -85,7 +85,7 @@
       } catch {
         // Any failure closes the connection; the loop opens a new one.
       }
-      this.#closedTrafficBytes += this.#connection?.traffic ?? 0;
+      this.#closedTrafficBytes += this.#connection?.trafficBytes ?? 0;
       this.#connection?.destroy();
       this.#connection = null;
       this.#isLocked = false;
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -69,20 +69,20 @@
   /** Exchanges all records with a daemon. */
   syncWith(target: Pick<PeerRecord, 'daemonId' | 'host' | 'port'>): void {
     const { table, links } = this.options;
-    links.to(target).tell({ kind: 'sync', records: table.all, wantsReply: true });
+    links.linkTo(target).send({ kind: 'sync', records: table.all, wantsReply: true });
   }
 
   /** Sends pending updates to some daemons immediately. */
-  spreadNow(): void {
+  disseminateNow(): void {
     const { table, links } = this.options;
     const targets = shuffle(table.others, this.options.random).slice(0, URGENT_FANOUT);
     const updates = table.takeNews();
     for (const record of targets)
-      links.to(record).tell({ kind: 'ping', pingId: 0, news: updates, ...this.#senderState() });
+      links.linkTo(record).send({ kind: 'ping', pingId: 0, news: updates, ...this.#senderState() });
   }
 
   /** Handles a message received on a link that another daemon opened. */
-  handleIncoming(message: PeerMessage, reply: (message: PeerMessage) => void): void {
+  handleRequest(message: PeerMessage, reply: (message: PeerMessage) => void): void {
     const { table } = this.options;
     switch (message.kind) {
       case 'ping':
@@ -106,7 +106,7 @@
   }
 
   /** Handles a reply received on a link that this daemon opened. */
-  handleAnswer(daemonId: string, message: PeerMessage): void {
+  handleReply(daemonId: string, message: PeerMessage): void {
     if (message.kind === 'sync') this.#handleSyncReply(message, daemonId);
     if (message.kind !== 'ack') return;
     this.#merge(message.news);
@@ -151,7 +151,7 @@
     const { table, links } = this.options;
     const pingId = this.#nextPingId++;
     this.#probes.set(pingId, { daemonId: target.daemonId, acknowledged: false });
-    links.to(target).tell({ kind: 'ping', pingId, news: table.takeNews(), ...this.#senderState() });
+    links.linkTo(target).send({ kind: 'ping', pingId, news: table.takeNews(), ...this.#senderState() });
     setTimeout(() => this.#checkDirectProbe(pingId, target), this.options.probeTimeoutMs).unref();
   }
 
@@ -164,7 +164,7 @@
     const dead = table.all.filter(({ state }) => state === 'dead');
     const record = dead[Math.floor(random() * dead.length)];
     if (record !== undefined)
-      links.to(record).tell({ kind: 'ping', pingId: 0, news: [record], ...this.#senderState() });
+      links.linkTo(record).send({ kind: 'ping', pingId: 0, news: [record], ...this.#senderState() });
   }
 
   /** Returns the next daemon to probe, in random order; each is probed once before any is probed again. */
@@ -193,7 +193,7 @@
       ({ daemonId, state }) => daemonId !== target.daemonId && state === 'alive',
     );
     for (const intermediary of shuffle(intermediaries, random).slice(0, indirectProbes)) {
-      links.to(intermediary).tell({ kind: 'pingRequest', pingId, target: target.daemonId });
+      links.linkTo(intermediary).send({ kind: 'pingRequest', pingId, target: target.daemonId });
     }
     setTimeout(() => this.#checkIndirectProbe(pingId, target), probeTimeoutMs).unref();
   }
@@ -211,7 +211,9 @@
     if (record === null) return;
     const ownPingId = this.#nextPingId++;
     this.#relayedProbes.set(ownPingId, { pingId, reply });
-    this.options.links.to(record).tell({ kind: 'ping', pingId: ownPingId, news: [], ...this.#senderState() });
+    this.options.links
+      .linkTo(record)
+      .send({ kind: 'ping', pingId: ownPingId, news: [], ...this.#senderState() });
     setTimeout(() => this.#relayedProbes.delete(ownPingId), this.options.probeTimeoutMs * 2).unref();
   }
 
@@ -220,7 +222,7 @@
     const { table, links } = this.options;
     const record = table.find(daemonId);
     if (message.wantsReply && record !== null)
-      links.to(record).tell({ kind: 'sync', records: table.all, wantsReply: false });
+      links.linkTo(record).send({ kind: 'sync', records: table.all, wantsReply: false });
   }
 
   /** The delay is randomised so that daemons that started together do not send their digests together. */
@@ -235,6 +237,6 @@
   #sendDigest(): void {
     const { table, links, random } = this.options;
     const [target] = shuffle(table.others, random);
-    if (target !== undefined) links.to(target).tell({ kind: 'digest', digest: table.digest() });
+    if (target !== undefined) links.linkTo(target).send({ kind: 'digest', digest: table.digest() });
   }
 }
--- a/src/ownership/database-controller.ts
+++ b/src/ownership/database-controller.ts
@@ -42,7 +42,7 @@
  */
 const YIELD_BACKOFF_FACTOR = 2;
 /** Interval between ticks of a controller, in milliseconds. */
-export const CONTROL_TICK_MS = 50;
+export const CONTROL_TICK_INTERVAL_MS = 50;
 const LOCK_POLL_INTERVAL_MS = 10;
 
 /** Controls this daemon's ownership of one database. */
@@ -83,11 +83,11 @@
   }
 
   /** Number of bytes sent and received on control connections to members. */
-  get controlTraffic(): number {
+  get controlTrafficBytes(): number {
     return this.#closedMonitorTrafficBytes + (this.#monitor?.controlTrafficBytes ?? 0);
   }
 
-  /** Checks the lease, or tries to acquire it when due; to be called every {@link CONTROL_TICK_MS}. */
+  /** Checks the lease, or tries to acquire it when due; to be called every {@link CONTROL_TICK_INTERVAL_MS}. */
   tick(): void {
     if (this.#isStopped || this.#isAcquiring) return;
     if (this.#engine !== null) this.#checkLease();
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 import { connect } from 'node:net';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import type { PeerRecord } from '../membership/peer-record.js';
 import { RequestError } from '../verdict/verdict.js';
 import { asBuffer } from '../wire/as-buffer.js';
@@ -26,7 +26,7 @@
  * A sink that is also notified when the link is lost before the response was complete. If the request had not
  * been sent by then, `notOwner` is called instead.
  */
-export interface ForwardSink extends AnswerSink {
+export interface ForwardSink extends ResponseSink {
   lost(): void;
 }
 
@@ -84,18 +84,18 @@
   }
 
   /** Bytes sent and received. */
-  get traffic(): number {
+  get trafficBytes(): number {
     return this.#channel.bytesSent + this.#channel.bytesReceived;
   }
 
   /** Sends a message that the remote daemon replies to with a message of its own kind. */
   request(message: PeerMessage): void {
     this.#unansweredSinceMs ??= performance.now();
-    this.tell(message);
+    this.send(message);
   }
 
   /** Sends a message. */
-  tell(message: PeerMessage): void {
+  send(message: PeerMessage): void {
     this.lastUsedMs = performance.now();
     this.#channel.send(message);
   }
@@ -110,13 +110,13 @@
     this.#requests.set(requestId, sink);
     this.#unansweredSinceMs ??= performance.now();
     this.#sendOnceClockIsKnown(() =>
-      this.tell({ kind: 'execute', requestId, request, waitsUntilMs: this.#remoteDeadlineMs() }),
+      this.send({ kind: 'execute', requestId, request, waitsUntilMs: this.#remoteDeadlineMs() }),
     );
   }
 
   /** Sends a message about a forwarded request, never before the request itself. */
-  tellOfRequest(message: CloseStreamMessage | CancelMessage): void {
-    this.#sendOnceClockIsKnown(() => this.tell(message));
+  sendAboutRequest(message: CloseStreamMessage | CancelMessage): void {
+    this.#sendOnceClockIsKnown(() => this.send(message));
   }
 
   /** Closes the link; pending requests are lost. */
--- a/src/peer/peer-links.ts
+++ b/src/peer/peer-links.ts
@@ -33,9 +33,9 @@
   }
 
   /** Bytes sent and received on all links so far. */
-  get traffic(): number {
+  get trafficBytes(): number {
     let traffic = this.#closedTrafficBytes;
-    for (const link of this.#links.values()) traffic += link.traffic;
+    for (const link of this.#links.values()) traffic += link.trafficBytes;
     return traffic;
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Returns the link to a daemon; opens one if there is none or it has ended. */
-  to(record: Pick<PeerRecord, 'daemonId' | 'host' | 'port'>): PeerLink {
+  linkTo(record: Pick<PeerRecord, 'daemonId' | 'host' | 'port'>): PeerLink {
     const { daemonId, host, port } = record;
     const known = this.#links.get(daemonId);
     if (known !== undefined && !known.isClosed) return known;
@@ -69,7 +69,7 @@
   }
 
   #handleClosed(daemonId: string, link: PeerLink): void {
-    this.#closedTrafficBytes += link.traffic;
+    this.#closedTrafficBytes += link.trafficBytes;
     if (this.#links.get(daemonId) === link) this.#links.delete(daemonId);
     const wasIdle = this.#idleLinks.delete(link);
     if (!this.#isClosing && !wasIdle) this.options.onLost(daemonId);
--- a/src/peer/peer-server.ts
+++ b/src/peer/peer-server.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 import { createServer, type Server, type Socket } from 'node:net';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import type { PeerRecord } from '../membership/peer-record.js';
 import { MessageChannel } from './message-channel.js';
 import { MAX_PEER_MESSAGE_BYTES } from './peer-link.js';
@@ -13,7 +13,7 @@
 /** Handlers that the daemon provides for incoming messages. */
 export interface PeerServerHandlers {
   /** @param isAwaited - false once the sender's deadline has passed: the request must not be started then */
-  execute(request: StatementRequest, sink: AnswerSink, isAwaited: () => boolean): void;
+  execute(request: StatementRequest, sink: ResponseSink, isAwaited: () => boolean): void;
   closeStream(database: string, streamId: string): void;
   cancel(database: string, streamId: string): void;
   hello(record: PeerRecord): void;
@@ -40,7 +40,7 @@
   }
 
   /** Bytes sent and received so far, on open and closed connections. */
-  get traffic(): number {
+  get trafficBytes(): number {
     let traffic = this.#closedTrafficBytes;
     for (const socket of this.#sockets) traffic += socket.bytesRead + socket.bytesWritten;
     return traffic;
@@ -107,7 +107,7 @@
 }
 
 /** Sends a response back over the link. */
-class ChannelSink implements AnswerSink {
+class ChannelSink implements ResponseSink {
   constructor(
     private readonly channel: MessageChannel<PeerMessage>,
     private readonly requestId: number,
@@ -119,12 +119,12 @@
     this.channel.send({ kind: 'answerData', requestId: this.requestId, frames });
   }
 
-  end(status: Parameters<AnswerSink['end']>[0]): void {
+  end(status: Parameters<ResponseSink['end']>[0]): void {
     if (status === 'I') this.onIdle();
     this.channel.send({ kind: 'answerEnd', requestId: this.requestId, status });
   }
 
-  fail(error: Parameters<AnswerSink['fail']>[0], status: Parameters<AnswerSink['fail']>[1]): void {
+  fail(error: Parameters<ResponseSink['fail']>[0], status: Parameters<ResponseSink['fail']>[1]): void {
     const { sqlState, verdict, message, retryAfterMs } = error;
     const { requestId } = this;
     this.onIdle();
--- a/src/quota/operation-quotas.ts
+++ b/src/quota/operation-quotas.ts
@@ -8,7 +8,7 @@
  * @packageDocumentation
  */
 import type { DaemonRecord } from '../cluster/daemon-record.js';
-import type { Quota, Tenant } from '../tenancy/tenant-register.js';
+import type { Quota, Tenant } from '../tenancy/tenant-registry.js';
 import type { Grant, GrantRequest, QuotaHome } from './quota-home.js';
 
 /**
--- a/src/quota/quota-home.ts
+++ b/src/quota/quota-home.ts
@@ -11,7 +11,7 @@
  * @packageDocumentation
  */
 import type { DaemonRecord } from '../cluster/daemon-record.js';
-import type { Quota, Tenant } from '../tenancy/tenant-register.js';
+import type { Quota, Tenant } from '../tenancy/tenant-registry.js';
 import { TokenBucket } from './token-bucket.js';
 
 /** Request of a daemon for grants of one tenant. */
--- a/src/quota/quota-service.ts
+++ b/src/quota/quota-service.ts
@@ -6,7 +6,7 @@
  */
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { preferredDaemons } from '../cluster/rank-by-capacity.js';
-import type { Tenant } from '../tenancy/tenant-register.js';
+import type { Tenant } from '../tenancy/tenant-registry.js';
 import { GrantedQuotas, type Charge, type OperationQuotas } from './operation-quotas.js';
 import { QuotaHome, type Grant, type GrantRequest } from './quota-home.js';
 
@@ -19,11 +19,11 @@
   /** Live daemons. */
   daemons(): readonly DaemonRecord[];
   /** The tenant of this name in the active configuration, or `null`. */
-  tenant(name: string): Tenant | null;
+  findTenant(name: string): Tenant | null;
   /** Requests a grant from another daemon; `null` when it does not answer in time or is not responsible. */
-  ask(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null>;
+  requestGrant(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null>;
   /** True when the process of a daemon is known to have ended. */
-  isEnded(record: DaemonRecord): Promise<boolean>;
+  hasProcessEnded(record: DaemonRecord): Promise<boolean>;
   now(): number;
   /** Uniform random number in [0, 1). */
   random(): number;
@@ -44,7 +44,7 @@
   #lastDepartureMs: number;
 
   constructor(private readonly options: QuotaServiceOptions) {
-    const { ownName, tenant: findTenant, isEnded: hasProcessEnded, now, random } = options;
+    const { ownName, findTenant: findTenant, hasProcessEnded: hasProcessEnded, now, random } = options;
     const requestGrant = this.#requestGrant.bind(this);
     this.#lastDepartureMs = now();
     const homeAndBackup = (tenantName: string): readonly DaemonRecord[] => this.#homeAndBackupOf(tenantName);
@@ -88,7 +88,7 @@
    */
   #requestGrant(record: DaemonRecord, request: GrantRequest, timeoutMs: number): Promise<Grant | null> {
     const marked = this.#isRetired ? { ...request, isForHome: true, hasHomeRetired: true } : request;
-    return this.options.ask(record, marked, timeoutMs);
+    return this.options.requestGrant(record, marked, timeoutMs);
   }
 
   /** Updates the state after a change of the live daemons. */
--- a/src/quota/quota.test.ts
+++ b/src/quota/quota.test.ts
@@ -12,7 +12,7 @@
 import { ModelledFleet } from '../../test/support/modelled-quota-fleet.js';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { preferredDaemons } from '../cluster/rank-by-capacity.js';
-import type { Tenant } from '../tenancy/tenant-register.js';
+import type { Tenant } from '../tenancy/tenant-registry.js';
 import { GrantedQuotas, type Charge } from './operation-quotas.js';
 import { QuotaHome, type Grant, type GrantRequest } from './quota-home.js';
 import { QuotaService } from './quota-service.js';
@@ -226,12 +226,12 @@
   const service = new QuotaService({
     ownName: 'nobody',
     daemons: () => living,
-    tenant: () => TENANT,
-    ask: (other) => {
+    findTenant: () => TENANT,
+    requestGrant: (other) => {
       asked.push(other.name);
       return new Promise(() => undefined);
     },
-    isEnded: () => Promise.resolve(false),
+    hasProcessEnded: () => Promise.resolve(false),
     now: () => 0,
     random: () => 0,
   });
@@ -246,9 +246,9 @@
   const service = new QuotaService({
     ownName: 'self',
     daemons: () => views,
-    tenant: () => TENANT,
-    ask: () => Promise.resolve(null),
-    isEnded: () => Promise.resolve(false),
+    findTenant: () => TENANT,
+    requestGrant: () => Promise.resolve(null),
+    hasProcessEnded: () => Promise.resolve(false),
     now: () => nowMs,
     random: () => 0,
   });
--- a/src/quota/token-bucket.ts
+++ b/src/quota/token-bucket.ts
@@ -3,7 +3,7 @@
  *
  * @packageDocumentation
  */
-import type { Quota } from '../tenancy/tenant-register.js';
+import type { Quota } from '../tenancy/tenant-registry.js';
 
 /** Result of {@link TokenBucket.take}. */
 export interface TakeResult {
--- a/src/relay/link-pool.ts
+++ b/src/relay/link-pool.ts
@@ -7,7 +7,7 @@
  *
  * @packageDocumentation
  */
-import { NO_TENANT } from '../tenancy/tenant-register.js';
+import { NO_TENANT } from '../tenancy/tenant-registry.js';
 import { nextToServe, type LinkDemand } from './link-queue.js';
 import { LinkAcquisition, PoolTimeoutError, type PoolWaiter, type LinkSource } from './link-acquisition.js';
 import { DialError, type MemberAddress, type MemberDialer } from './member-link.js';
--- a/src/relay/relay-daemon.ts
+++ b/src/relay/relay-daemon.ts
@@ -43,7 +43,7 @@
 import { QuotaService } from '../quota/quota-service.js';
 import { ConfigurationLease } from '../tenancy/configuration-lease.js';
 import type { KeyDigest } from '../tenancy/key-digest.js';
-import { LeaseRenewal, type PassedConfiguration } from '../tenancy/lease-renewal.js';
+import { LeaseRenewal, type ConfigurationLeaseReply } from '../tenancy/lease-renewal.js';
 import { Catalog, type CatalogDocument } from '../topology/catalog.js';
 import { compareIncarnations, type Incarnation } from '../topology/incarnation.js';
 import { MemberDirectory } from '../topology/member-directory.js';
@@ -276,8 +276,8 @@
       delegates: () => this.#delegations.of('store'),
       daemons: () => this.#daemons.live,
       registered: () => this.#daemons.expected(now()),
-      ask: this.#gatewayClient.requestConfiguration.bind(this.#gatewayClient),
-      offer: (item) => this.watched.offer(item),
+      requestConfiguration: this.#gatewayClient.requestConfiguration.bind(this.#gatewayClient),
+      offerConfiguration: (item) => this.watched.offer(item),
       log: options.log,
       now,
       random,
@@ -285,9 +285,9 @@
     this.#quotas = new QuotaService({
       ownName: self.name,
       daemons: () => this.#daemons.live,
-      tenant: (name) => this.catalog.tenants.find(name),
-      ask: this.#gatewayClient.requestGrant.bind(this.#gatewayClient),
-      isEnded: (record) => this.#mesh.isGone(record),
+      findTenant: (name) => this.catalog.tenants.findByName(name),
+      requestGrant: this.#gatewayClient.requestGrant.bind(this.#gatewayClient),
+      hasProcessEnded: (record) => this.#mesh.isGone(record),
       now,
       random,
     });
@@ -465,7 +465,7 @@
   }
 
   /** Answers a daemon that holds `heldVersion` and asks for the newest configuration that is known here. */
-  #configurationReply(heldVersion: number): PassedConfiguration {
+  #configurationReply(heldVersion: number): ConfigurationLeaseReply {
     const now = this.options.now();
     const lease = this.#configurationLease;
     const item = this.watched.items.get(this.options.configurationKey);
@@ -474,7 +474,7 @@
       isSameRevision(item.revision, lease.heldRevision) &&
       lease.heldVersion > heldVersion &&
       now - this.#catalogReceivedAtMs > CHANGE_PROPAGATION_MS;
-    return { version: lease.heldVersion, proof: lease.handOn(now), item: mustSendItem ? item : null };
+    return { version: lease.heldVersion, proof: lease.shareableProof(now), item: mustSendItem ? item : null };
   }
 
   #updateReadiness(): void {
@@ -557,7 +557,7 @@
       gatewayClient: this.#gatewayClient,
       assignment: () => this.#assignments.of(member.entry),
       fallbackLenders: () => this.#daemons.live.filter(({ name }) => name !== options.self.name),
-      tenantShare: (tenantName) => this.catalog.tenants.shareOf(tenantName),
+      tenantShare: (tenantName) => this.catalog.tenants.rateShareOf(tenantName),
       ownName: options.self.name,
     });
     const member: Member = new Member(entry, connections);
--- a/src/statement/request-tags.ts
+++ b/src/statement/request-tags.ts
@@ -33,7 +33,7 @@
 const TAG_PAIR = /^\s*([a-z_]+)='((?:[^'\\]|\\.)*)'\s*$/;
 
 /** Parses the tags in the last comment of a text, and removes that comment. */
-export function readTags(text: string): TagParseResult {
+export function parseTags(text: string): TagParseResult {
   const end = text.trimEnd().replace(/;$/, '').trimEnd();
   if (!end.endsWith('*/')) return { text, tags: NO_TAGS };
   const start = end.lastIndexOf('/*');
@@ -78,7 +78,7 @@
 }
 
 /** Reads the default tags of a connection from its start-up parameters, also from `options=-c name=value`. */
-export function readStartupTags(parameters: ReadonlyMap<string, string>): RequestTags {
+export function parseStartupTags(parameters: ReadonlyMap<string, string>): RequestTags {
   const options = new Map<string, string>();
   for (const match of (parameters.get('options') ?? '').matchAll(/-c\s*([\w.]+)=(\S*)/g)) {
     options.set(match[1] ?? '', match[2] ?? '');
--- a/src/tenancy/authorize.ts
+++ b/src/tenancy/authorize.ts
@@ -8,7 +8,7 @@
  */
 import type { CatalogDocument, Route } from '../topology/catalog.js';
 import type { KeyDigest } from './key-digest.js';
-import { NO_TENANT, type Tenant } from './tenant-register.js';
+import { NO_TENANT, type Tenant } from './tenant-registry.js';
 
 /** The identity that a caller was authorized under. */
 export interface Caller {
@@ -43,7 +43,7 @@
   route: Pick<Route, 'isPublic'>,
   key: KeyDigest | null,
 ): Authorization {
-  const tenant = tenants.holderOf(key);
+  const tenant = tenants.findByKey(key);
   if (route.isPublic) {
     if (tenant === null || !isProven) return ANONYMOUS;
     return { kind: 'granted', caller: { tenantName: tenant.name, account: null } };
--- a/src/tenancy/configuration-lease.ts
+++ b/src/tenancy/configuration-lease.ts
@@ -89,7 +89,7 @@
   }
 
   /** Records a proof, and renews the lease if the proof covers the held configuration. */
-  prove(proof: ConfigurationProof): void {
+  recordProof(proof: ConfigurationProof): void {
     this.observeVersion(proof.version, proof.provenAtMs);
     const isContradicted =
       proof.version < this.#newestAcceptedVersion && proof.provenAtMs >= this.#newestAcceptedByMs;
@@ -116,7 +116,7 @@
   /**
    * The most recent proof, to send to another daemon; `null` without one that is younger than a strict bound.
    */
-  handOn(nowMs: number): AgedProof | null {
+  shareableProof(nowMs: number): AgedProof | null {
     if (this.boundMs === null || this.#latestProof === null) return null;
     const ageMs = nowMs - this.#latestProof.provenAtMs;
     return ageMs < this.boundMs ? { version: this.#latestProof.version, ageMs } : null;
--- a/src/tenancy/lease-renewal.test.ts
+++ b/src/tenancy/lease-renewal.test.ts
@@ -9,7 +9,7 @@
 import { MemoryStore } from '../../test/support/memory-store.js';
 import type { StoredItem } from '../coordination/coordination-store.js';
 import { ConfigurationLease } from './configuration-lease.js';
-import { LeaseRenewal, type LeaseRenewalOptions, type PassedConfiguration } from './lease-renewal.js';
+import { LeaseRenewal, type LeaseRenewalOptions, type ConfigurationLeaseReply } from './lease-renewal.js';
 import { at as revisionAt } from '../../test/support/revisions.js';
 
 const KEY = 'configuration';
@@ -34,7 +34,7 @@
   store.items.set(KEY, { key: KEY, value: Buffer.from('held'), revision: revisionAt(7), leaseId: 0 });
   const asked: string[] = [];
   const offered: StoredItem[] = [];
-  const { ask = () => Promise.resolve(null), ...others } = overrides;
+  const { requestConfiguration: ask = () => Promise.resolve(null), ...others } = overrides;
   const renewal = new LeaseRenewal({
     lease,
     store,
@@ -44,11 +44,11 @@
     delegates: () => [OTHER_ZONE, SAME_ZONE],
     daemons: () => [OTHER_ZONE, SAME_ZONE],
     registered: () => [],
-    ask: (record, heldVersion, timeoutMs) => {
+    requestConfiguration: (record, heldVersion, timeoutMs) => {
       asked.push(record.name);
       return ask(record, heldVersion, timeoutMs);
     },
-    offer: (item) => {
+    offerConfiguration: (item) => {
       offered.push(item);
       lease.adopt(item.revision.number, item.revision, clock.now);
     },
@@ -60,12 +60,12 @@
   return { renewal, lease, store, asked, offered, clock };
 }
 
-function proofOf(version: number, ageMs: number): Promise<PassedConfiguration> {
+function proofOf(version: number, ageMs: number): Promise<ConfigurationLeaseReply> {
   return Promise.resolve({ version, proof: { version, ageMs }, item: null });
 }
 
 test('a follower asks a delegate of its zone, and takes the age of the proof into account', async () => {
-  const { renewal, lease, asked, store } = createFixture({ ask: () => proofOf(7, 1500) });
+  const { renewal, lease, asked, store } = createFixture({ requestConfiguration: () => proofOf(7, 1500) });
   assert.ok(await renewal.renew());
   assert.deepEqual(asked, ['near']);
   assert.equal(store.reads, 0);
@@ -73,9 +73,9 @@
 });
 
 test('after a delegate without a proof, one of another zone is asked, not the store', async () => {
-  const ask = (record: { name: string }): Promise<PassedConfiguration> =>
+  const ask = (record: { name: string }): Promise<ConfigurationLeaseReply> =>
     record.name === 'near' ? Promise.resolve({ version: 7, proof: null, item: null }) : proofOf(7, 10);
-  const { renewal, asked, store } = createFixture({ ask });
+  const { renewal, asked, store } = createFixture({ requestConfiguration: ask });
   assert.ok(await renewal.renew());
   assert.deepEqual(asked, ['near', 'far']);
   assert.equal(store.reads, 0);
@@ -83,7 +83,7 @@
 
 test('after an old proof, another delegate is asked for a younger one', async () => {
   const { renewal, lease, asked } = createFixture({
-    ask: ({ name }) => proofOf(7, name === 'near' ? 4000 : 300),
+    requestConfiguration: ({ name }) => proofOf(7, name === 'near' ? 4000 : 300),
   });
   assert.ok(await renewal.renew());
   assert.deepEqual(asked, ['near', 'far']);
@@ -92,14 +92,23 @@
 
 test('the first delegate of a zone reads from the store, others only if no daemon has a proof', async () => {
   const self = daemonRecord('self', { zone: 'a' });
-  const first = createFixture({ delegates: () => [self, SAME_ZONE, OTHER_ZONE], ask: () => proofOf(7, 10) });
+  const first = createFixture({
+    delegates: () => [self, SAME_ZONE, OTHER_ZONE],
+    requestConfiguration: () => proofOf(7, 10),
+  });
   assert.ok(await first.renewal.renew());
   assert.deepEqual([first.store.reads, first.asked], [1, []]);
-  const second = createFixture({ delegates: () => [SAME_ZONE, self, OTHER_ZONE], ask: () => proofOf(7, 10) });
+  const second = createFixture({
+    delegates: () => [SAME_ZONE, self, OTHER_ZONE],
+    requestConfiguration: () => proofOf(7, 10),
+  });
   assert.ok(await second.renewal.renew());
   assert.deepEqual([second.store.reads, second.asked], [0, ['near']]);
   const noProof = Promise.resolve({ version: 7, proof: null, item: null });
-  const alone = createFixture({ delegates: () => [SAME_ZONE, self, OTHER_ZONE], ask: () => noProof });
+  const alone = createFixture({
+    delegates: () => [SAME_ZONE, self, OTHER_ZONE],
+    requestConfiguration: () => noProof,
+  });
   assert.ok(await alone.renewal.renew());
   assert.deepEqual([alone.store.reads, alone.asked], [1, ['near', 'far']]);
 });
@@ -107,7 +116,7 @@
 // Delegates without a proof cannot read from the store either, so a read would fail.
 test('a follower does not read from the store while the delegates answer without a proof', async () => {
   const { renewal, store } = createFixture({
-    ask: () => Promise.resolve({ version: 7, proof: null, item: null }),
+    requestConfiguration: () => Promise.resolve({ version: 7, proof: null, item: null }),
   });
   assert.equal(await renewal.renew(), false);
   assert.equal(store.reads, 0);
@@ -123,7 +132,7 @@
 test('a daemon whose read from the store fails asks other daemons, also in a small fleet', async () => {
   const { renewal, lease, store, asked } = createFixture({
     delegates: () => null,
-    ask: () => proofOf(7, 100),
+    requestConfiguration: () => proofOf(7, 100),
   });
   store.isDown = true;
   assert.ok(await renewal.renew());
@@ -133,7 +142,7 @@
 
 test('a newer configuration is taken from the reply, of the store and of a daemon', async () => {
   const fromDaemon = createFixture({
-    ask: () => Promise.resolve({ version: 9, proof: { version: 9, ageMs: 0 }, item: ITEM }),
+    requestConfiguration: () => Promise.resolve({ version: 9, proof: { version: 9, ageMs: 0 }, item: ITEM }),
   });
   assert.ok(await fromDaemon.renewal.renew());
   assert.deepEqual(fromDaemon.offered, [ITEM]);
@@ -147,7 +156,7 @@
 
 test('the time of the proof is that before the request, however late the answer', async () => {
   const { renewal, lease, clock } = createFixture({
-    ask: () => {
+    requestConfiguration: () => {
       clock.now += 240;
       return proofOf(7, 0);
     },
@@ -195,13 +204,14 @@
     const { renewal, lease, asked } = createFixture({
       delegates: () => null,
       registered: () => [SAME_ZONE, OTHER_ZONE],
-      ask: ({ name }) => Promise.resolve({ version: name === 'far' ? 8 : 7, proof: null, item: null }),
+      requestConfiguration: ({ name }) =>
+        Promise.resolve({ version: name === 'far' ? 8 : 7, proof: null, item: null }),
     });
     assert.equal(await renewal.renew(), true, 'the store has answered');
     assert.deepEqual(asked.slice(0, 2), ['near', 'far']);
     assert.equal(lease.isProven(1000), false);
     lease.adopt(8, revisionAt(11), 1000);
-    lease.prove({ version: 8, provenAtMs: 1000 });
+    lease.recordProof({ version: 8, provenAtMs: 1000 });
     assert.equal(lease.isProven(1000), true);
   });
 
@@ -225,7 +235,10 @@
   });
 
   test('is no proof when its item is older than the active configuration', async () => {
-    const { renewal, lease, store } = createFixture({ delegates: () => null, offer: () => undefined });
+    const { renewal, lease, store } = createFixture({
+      delegates: () => null,
+      offerConfiguration: () => undefined,
+    });
     store.items.set(KEY, { key: KEY, value: Buffer.from('older'), revision: revisionAt(5), leaseId: 0 });
     assert.equal(await renewal.renew(), false);
     assert.equal(lease.isProven(1000), false);
--- a/src/tenancy/lease-renewal.ts
+++ b/src/tenancy/lease-renewal.ts
@@ -48,7 +48,7 @@
 const ERA_CHECK_TIMEOUT_MS = 2000;
 
 /** Reply of another daemon to a request for its proof and configuration. */
-export interface PassedConfiguration {
+export interface ConfigurationLeaseReply {
   /** Version of its active configuration; 0 for none. */
   readonly version: number;
   readonly proof: AgedProof | null;
@@ -73,9 +73,13 @@
   /** Live daemons, and daemons with a record in the store that may be running. */
   registered(): readonly DaemonRecord[];
   /** Requests the proof and configuration of another daemon; `null` when it does not answer in time. */
-  ask(record: DaemonRecord, heldVersion: number, timeoutMs: number): Promise<PassedConfiguration | null>;
+  requestConfiguration(
+    record: DaemonRecord,
+    heldVersion: number,
+    timeoutMs: number,
+  ): Promise<ConfigurationLeaseReply | null>;
   /** Takes a configuration that is newer than the held one. */
-  offer(item: StoredItem): void;
+  offerConfiguration(item: StoredItem): void;
   log(event: string, details: Readonly<Record<string, unknown>>): void;
   now(): number;
   /** Uniform random number in [0, 1). */
@@ -147,11 +151,11 @@
     const { heldVersion, heldRevision } = lease;
     try {
       const answer = await store.readIfChanged(configurationKey, heldRevision, STORE_TIMEOUT_MS);
-      if (answer.kind === 'changed' && answer.item !== null) this.options.offer(answer.item);
+      if (answer.kind === 'changed' && answer.item !== null) this.options.offerConfiguration(answer.item);
       if (store.era.current !== this.#verifiedEra) return false;
       const provenVersion = answer.kind === 'unchanged' ? heldVersion : this.#heldVersionIfSame(answer.item);
       if (provenVersion === null) return false;
-      lease.prove({ version: provenVersion, provenAtMs: askedAtMs });
+      lease.recordProof({ version: provenVersion, provenAtMs: askedAtMs });
       return true;
     } catch (error) {
       if (!(error instanceof StoreError)) throw error;
@@ -179,7 +183,7 @@
     this.#eraCheckStartedMs ??= now();
     const others = this.#orderOtherDaemons(this.options.registered());
     const answers = await Promise.all(
-      others.map((record) => this.options.ask(record, lease.heldVersion, DAEMON_TIMEOUT_MS)),
+      others.map((record) => this.options.requestConfiguration(record, lease.heldVersion, DAEMON_TIMEOUT_MS)),
     );
     const replies = answers.filter((answer) => answer !== null);
     for (const { version } of replies) lease.observeVersion(version, now());
@@ -192,14 +196,14 @@
   }
 
   async #renewFromDaemon(record: DaemonRecord): Promise<'renewed' | 'no_proof' | 'silent'> {
-    const { lease, ask, now } = this.options;
+    const { lease, requestConfiguration: requestConfiguration, now } = this.options;
     const askedAtMs = now();
-    const answer = await ask(record, lease.heldVersion, DAEMON_TIMEOUT_MS);
+    const answer = await requestConfiguration(record, lease.heldVersion, DAEMON_TIMEOUT_MS);
     if (answer === null) return 'silent';
-    if (answer.item !== null) this.options.offer(answer.item);
+    if (answer.item !== null) this.options.offerConfiguration(answer.item);
     if (answer.proof === null) return 'no_proof';
     const { version, ageMs } = answer.proof;
-    lease.prove({ version, provenAtMs: askedAtMs - ageMs });
+    lease.recordProof({ version, provenAtMs: askedAtMs - ageMs });
     return ageMs <= MAX_PROOF_AGE_INTERVALS * this.#renewalIntervalMs ? 'renewed' : 'no_proof';
   }
 
--- a/src/tenancy/tenancy.test.ts
+++ b/src/tenancy/tenancy.test.ts
@@ -9,7 +9,7 @@
 import { authorize } from './authorize.js';
 import { ConfigurationLease } from './configuration-lease.js';
 import { digestKey } from './key-digest.js';
-import { NO_TENANT, TenantRegister, type Tenant } from './tenant-register.js';
+import { NO_TENANT, TenantRegistry, type Tenant } from './tenant-registry.js';
 import { at as revisionAt } from '../../test/support/revisions.js';
 
 const AMBER: Tenant = { name: 'amber', priority: 0, quota: null };
@@ -19,7 +19,7 @@
   return keys.flatMap((key) => digestKey(key) ?? []);
 }
 
-const TENANTS = new TenantRegister([
+const TENANTS = new TenantRegistry([
   { tenant: AMBER, keys: keysOf('a1', 'a2', 'shared') },
   { tenant: BIRCH, keys: keysOf('b1', 'shared') },
 ]);
@@ -34,7 +34,7 @@
   });
 
   test('a key listed by two tenants belongs to the first one, and the dispute is reported', () => {
-    assert.equal(TENANTS.holderOf(digestKey('shared')), AMBER);
+    assert.equal(TENANTS.findByKey(digestKey('shared')), AMBER);
     assert.deepEqual(TENANTS.disputes, [{ holder: 'amber', claimant: 'birch' }]);
   });
 });
@@ -66,7 +66,7 @@
     const lease = new ConfigurationLease(5000);
     lease.adopt(7, revisionAt(7), 0);
     assert.equal(lease.isProven(0), false);
-    lease.prove({ version: 7, provenAtMs: 1000 });
+    lease.recordProof({ version: 7, provenAtMs: 1000 });
     assert.equal(lease.isProven(5900), true);
     assert.equal(lease.isProven(6000), false);
   });
@@ -74,8 +74,8 @@
   test('is not renewed by a proof of a configuration that has not been received', () => {
     const lease = new ConfigurationLease(5000);
     lease.adopt(7, revisionAt(7), 0);
-    lease.prove({ version: 7, provenAtMs: 0 });
-    lease.prove({ version: 9, provenAtMs: 3000 });
+    lease.recordProof({ version: 7, provenAtMs: 0 });
+    lease.recordProof({ version: 9, provenAtMs: 3000 });
     assert.equal(lease.isProven(4900), true);
     assert.equal(lease.isProven(5000), false);
     lease.adopt(9, revisionAt(9), 0);
@@ -85,7 +85,7 @@
   test('is not required when the bound is not strict', () => {
     const lease = new ConfigurationLease(null);
     assert.equal(lease.isProven(1e9), true);
-    assert.equal(lease.handOn(0), null);
+    assert.equal(lease.shareableProof(0), null);
   });
 
   /**
@@ -144,17 +144,17 @@
               schedule(nowMs + requestDelayMs, () => {
                 const newest = revision;
                 schedule(nowMs + replyDelayMs + pauseMs, () =>
-                  lease.prove({ version: newest, provenAtMs: askedAtMs }),
+                  lease.recordProof({ version: newest, provenAtMs: askedAtMs }),
                 );
               });
               break;
             case 'ask_daemon':
               schedule(nowMs + requestDelayMs, () => {
-                const proof = daemons[other]?.handOn(nowMs) ?? null;
+                const proof = daemons[other]?.shareableProof(nowMs) ?? null;
                 if (proof === null) return;
                 const provenAtMs = askedAtMs - proof.ageMs;
                 schedule(nowMs + replyDelayMs + pauseMs, () =>
-                  lease.prove({ version: proof.version, provenAtMs }),
+                  lease.recordProof({ version: proof.version, provenAtMs }),
                 );
               });
               break;
--- a/src/tenancy/tenant-register.ts
+++ b/src/tenancy/tenant-registry.ts
@@ -35,7 +35,7 @@
 }
 
 /** Looks up tenants by key and by name. */
-export class TenantRegister {
+export class TenantRegistry {
   readonly #tenantByKey = new Map<KeyDigest, Tenant>();
   readonly #tenantByName = new Map<string, Tenant>();
   /** Sum of the rates of all limited tenants, in operations per second. */
@@ -63,7 +63,7 @@
    * Share of a tenant in the summed rate of all limited tenants, 0 to 1; 1 for unknown and unlimited tenants
    * and when the sum is 0.
    */
-  shareOf(name: string): number {
+  rateShareOf(name: string): number {
     const quota = this.#tenantByName.get(name)?.quota ?? null;
     return quota === null || this.#totalRatePerS === 0 ? 1 : quota.ratePerS / this.#totalRatePerS;
   }
@@ -73,15 +73,15 @@
   }
 
   /** The tenant that a key belongs to, or `null`. */
-  holderOf(key: KeyDigest | null): Tenant | null {
+  findByKey(key: KeyDigest | null): Tenant | null {
     return key === null ? null : (this.#tenantByKey.get(key) ?? null);
   }
 
   /** The tenant of this name, or `null`. */
-  find(name: string): Tenant | null {
+  findByName(name: string): Tenant | null {
     return this.#tenantByName.get(name) ?? null;
   }
 }
 
 /** The registry of a configuration without tenants. */
-export const NO_TENANTS = new TenantRegister([]);
+export const NO_TENANTS = new TenantRegistry([]);
--- a/src/topology/catalog.ts
+++ b/src/topology/catalog.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-import { NO_TENANTS, type TenantRegister } from '../tenancy/tenant-register.js';
+import { NO_TENANTS, type TenantRegistry } from '../tenancy/tenant-registry.js';
 
 /** Read consistency that a route guarantees. */
 export type Consistency =
@@ -46,7 +46,7 @@
   readonly version: number;
   readonly routes: ReadonlyMap<string, Route>;
   readonly groups: ReadonlyMap<string, GroupSettings>;
-  readonly tenants: TenantRegister;
+  readonly tenants: TenantRegistry;
   /** Maximum idle time of a transaction between two statements, in milliseconds. */
   readonly transactionIdleMs: number;
   /** Maximum size of a client message, in bytes. */
@@ -70,7 +70,7 @@
   }
 
   /** The tenants of the configuration in force. */
-  get tenants(): TenantRegister {
+  get tenants(): TenantRegistry {
     return this.#document?.tenants ?? NO_TENANTS;
   }
 
--- a/src/topology/topology.test.ts
+++ b/src/topology/topology.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NO_TENANTS } from '../tenancy/tenant-register.js';
+import { NO_TENANTS } from '../tenancy/tenant-registry.js';
 import { Catalog, type CatalogDocument } from './catalog.js';
 import { selectReadMember, type ReadCandidate } from './select-member.js';
 
--- a/src/units.test.ts
+++ b/src/units.test.ts
@@ -7,7 +7,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { digestDatabases, fromDocument, toDocument } from './configuration/configuration-document.js';
-import { OwnerReachability } from './entry/owner-reachability.js';
+import { OwnerCircuitBreaker } from './entry/owner-circuit-breaker.js';
 import { PauseDetector } from './entry/pause-detector.js';
 import { ReplyPlan, type ReplyStep } from './member/reply-plan.js';
 import { formatLine } from './observability/logger.js';
@@ -15,7 +15,7 @@
 import { DEFAULT_DECISION, Policy } from './policy/policy.js';
 import { parseSettings } from './settings/settings.js';
 import { classify } from './statement/classify.js';
-import { readStartupTags, readTags } from './statement/request-tags.js';
+import { parseStartupTags, parseTags } from './statement/request-tags.js';
 import { FrameError, FrameSplitter } from './wire/frame-splitter.js';
 import { BackendType } from './wire/message-types.js';
 
@@ -136,12 +136,12 @@
 });
 
 test('tags: the last comment in sqlcommenter form, and nothing else', () => {
-  const { text, tags } = readTags("SELECT 1 /*class='issue',once='a%20b',session='s\\'1'*/;");
+  const { text, tags } = parseTags("SELECT 1 /*class='issue',once='a%20b',session='s\\'1'*/;");
   assert.equal(text, 'SELECT 1 ');
   assert.deepEqual(tags, { requestClass: 'issue', onceKey: 'a b', session: "s'1" });
-  assert.equal(readTags('SELECT 1 /* a remark */').tags.requestClass, null);
+  assert.equal(parseTags('SELECT 1 /* a remark */').tags.requestClass, null);
   const startup = new Map([['options', '-c sorrelladder.class=lookup -c other=1']]);
-  assert.equal(readStartupTags(startup).requestClass, 'lookup');
+  assert.equal(parseStartupTags(startup).requestClass, 'lookup');
 });
 
 test('frames: any split of a stream gives the same messages', () => {
@@ -192,7 +192,7 @@
   const detector = new PauseDetector({ thresholdMs: 1000, windowMs: 250 }, 0);
   assert.equal(detector.tick(900), false);
   assert.equal(detector.tick(1900), true);
-  while (detector.passed()) assert.equal(detector.tick(1901), true);
+  while (detector.completeIteration()) assert.equal(detector.tick(1901), true);
   assert.equal(detector.tick(2149), true, 'within the window also after the passes');
   assert.equal(detector.tick(2150), false);
 });
@@ -203,17 +203,17 @@
 });
 
 test('owner reachability: after a while requests are refused at once, but for a probe now and then', () => {
-  const reachability = new OwnerReachability({ giveUpAfterMs: 3000, probeIntervalMs: 250 });
+  const reachability = new OwnerCircuitBreaker({ openAfterMs: 3000, probeIntervalMs: 250 });
   assert.equal(reachability.recordFailure('quotes', 0), false);
   assert.equal(reachability.recordFailure('quotes', 2999), false);
-  assert.equal(reachability.mayTry('quotes', 2999), true);
+  assert.equal(reachability.allowRequest('quotes', 2999), true);
   assert.equal(reachability.recordFailure('quotes', 3000), true);
-  assert.equal(reachability.mayTry('quotes', 3001), true);
-  assert.equal(reachability.mayTry('quotes', 3002), false);
-  assert.equal(reachability.mayTry('quotes', 3251), true);
-  assert.equal(reachability.mayTry('other', 3002), true);
+  assert.equal(reachability.allowRequest('quotes', 3001), true);
+  assert.equal(reachability.allowRequest('quotes', 3002), false);
+  assert.equal(reachability.allowRequest('quotes', 3251), true);
+  assert.equal(reachability.allowRequest('other', 3002), true);
   reachability.recordSuccess('quotes');
-  assert.equal(reachability.mayTry('quotes', 3252), true);
+  assert.equal(reachability.allowRequest('quotes', 3252), true);
 });
 
 test('configuration documents: databases that the receiver has are not sent, and never mixed up', () => {
--- a/src/wire/frontend-messages.ts
+++ b/src/wire/frontend-messages.ts
@@ -84,13 +84,13 @@
 }
 
 /** Reads a Describe or Close message. */
-export function readObjectReference(frame: Buffer): DescribeOrCloseTarget {
+export function readDescribeOrClose(frame: Buffer): DescribeOrCloseTarget {
   const kind = frame[5] === 0x53 ? 'statement' : 'portal';
   return { kind, name: readCString(frame, 6).value };
 }
 
 /** Builds a Describe or Close message. */
-export function buildObjectMessage(type: number, reference: DescribeOrCloseTarget): Buffer {
+export function buildDescribeOrClose(type: number, reference: DescribeOrCloseTarget): Buffer {
   const kind = Buffer.from(reference.kind === 'statement' ? 'S' : 'P');
   return buildMessage(type, kind, cstring(reference.name));
 }
--- a/standin/member/session.ts
+++ b/standin/member/session.ts
@@ -7,7 +7,7 @@
 import type { Socket } from 'node:net';
 import * as backend from '../../src/wire/backend-messages.js';
 import { FrameSplitter } from '../../src/wire/frame-splitter.js';
-import { readObjectReference, readParse, readQueryText } from '../../src/wire/frontend-messages.js';
+import { readDescribeOrClose, readParse, readQueryText } from '../../src/wire/frontend-messages.js';
 import { BackendType, FrontendType } from '../../src/wire/message-types.js';
 import type { Database, SessionHandle } from './database.js';
 import { SqlError, TypeOid, type SqlValue } from './sql-values.js';
@@ -268,7 +268,7 @@
   }
 
   #describe(frame: Buffer): void {
-    const { kind, name } = readObjectReference(frame);
+    const { kind, name } = readDescribeOrClose(frame);
     const prepared = kind === 'statement' ? this.#prepared.get(name) : this.#portals.get(name)?.prepared;
     if (prepared === undefined) throw new SqlError('26000', `${kind} "${name}" does not exist`);
     if (kind === 'statement') this.#output.push(backend.parameterDescription(prepared.parameterTypes));
@@ -290,7 +290,7 @@
   }
 
   #closeObject(frame: Buffer): void {
-    const { kind, name } = readObjectReference(frame);
+    const { kind, name } = readDescribeOrClose(frame);
     if (kind === 'statement') this.#prepared.delete(name);
     else this.#portals.delete(name);
     this.#output.push(backend.emptyMessage(BackendType.closeComplete));
--- a/test/support/modelled-quota-fleet.ts
+++ b/test/support/modelled-quota-fleet.ts
@@ -6,7 +6,7 @@
 import type { DaemonRecord } from '../../src/cluster/daemon-record.js';
 import type { Grant, GrantRequest } from '../../src/quota/quota-home.js';
 import { QuotaService } from '../../src/quota/quota-service.js';
-import type { Tenant } from '../../src/tenancy/tenant-register.js';
+import type { Tenant } from '../../src/tenancy/tenant-registry.js';
 
 /** A fleet in modelled time: every daemon has its own view of who lives, and messages take time. */
 export class ModelledFleet {
@@ -35,9 +35,9 @@
     const service = new QuotaService({
       ownName: record.name,
       daemons: () => this.#views.get(record.name) ?? [],
-      tenant: (name) => (name === this.tenant.name ? this.tenant : null),
-      ask: (other, request, timeoutMs) => this.#ask(record, other, request, timeoutMs),
-      isEnded: (other) => Promise.resolve(this.#down.has(other.name) && !this.#isCut(record, other)),
+      findTenant: (name) => (name === this.tenant.name ? this.tenant : null),
+      requestGrant: (other, request, timeoutMs) => this.#ask(record, other, request, timeoutMs),
+      hasProcessEnded: (other) => Promise.resolve(this.#down.has(other.name) && !this.#isCut(record, other)),
       now: () => this.nowMs,
       random: this.random,
     });
