--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -102,7 +102,7 @@
     const handedOver = Promise.all([...this.#controllers.values()].map((c) => c.stop(drainTimeoutMs)));
     const cutClients = await this.#clientServer.drain(drainTimeoutMs);
     const cut = (await handedOver).reduce((total, count) => total + count, cutClients);
-    this.metrics.cutRequests.inc(cut);
+    this.metrics.abortedRequests.inc(cut);
     if (this.#controlTimer !== null) clearInterval(this.#controlTimer);
     this.#configuration.stop();
     this.#machines.stop();
--- a/src/observability/bounded-log.ts
+++ b/src/observability/bounded-log.ts
@@ -1,6 +1,6 @@
 /**
- * Structured log lines on standard output that never hold up the process: lines beyond a rate, or beyond what a
- * slow reader leaves unread, are dropped, counted and said.
+ * Structured log that never blocks the process: lines above a rate limit, or while a slow reader has left too much output
+ * unread, are dropped. The number of dropped lines is logged, except for routine lines.
  *
  * @packageDocumentation
  */
@@ -8,23 +8,23 @@
 import { pino, type Logger as PinoLogger } from 'pino';
 import { formatLine } from './logger.js';
 
-/** Lines about requests that go well, a second at most. */
-const ROUTINE_PER_S = 4;
-/** Lines about requests in trouble, a second at most. */
-const NOTABLE_PER_S = 150;
-/** Output that a slow reader may leave unread, in bytes. */
-const MAX_UNREAD_BYTES = 512 * 1024;
+/** Rate limit of lines about requests that are served normally. */
+const MAX_ROUTINE_LINES_PER_S = 4;
+/** Rate limit of lines about requests that fail or are not served normally. */
+const MAX_NOTABLE_LINES_PER_S = 150;
+/** Maximum size of the output that a slow reader has not consumed yet. */
+const MAX_BUFFERED_BYTES = 512 * 1024;
 const PERIOD_MS = 1000;
 
-/** How much a line matters. */
+/** Importance of a line; lines of class `always` are exempt from the rate limit. */
 export type LineClass = 'routine' | 'notable' | 'always';
 
-/** A log with a budget. */
+/** A log with a rate limit per class of lines and a limit on buffered output. */
 export class BoundedLog {
   readonly #logger: PinoLogger;
   #periodStartMs = 0;
-  #written: Record<LineClass, number> = { routine: 0, notable: 0, always: 0 };
-  #dropped = 0;
+  #linesWritten: Record<LineClass, number> = { routine: 0, notable: 0, always: 0 };
+  #linesDropped = 0;
 
   constructor(
     private readonly output: Writable,
@@ -40,21 +40,21 @@
     this.#logger = pino(options, { write: (line) => void output.write(formatLine(line)) });
   }
 
-  /** Lines dropped so far. */
+  /** Number of dropped lines that have not been reported yet, without routine lines. */
   get dropped(): number {
-    return this.#dropped;
+    return this.#linesDropped;
   }
 
-  /** Writes a line if the budget of its class allows it. */
+  /** Writes a line unless the rate limit of its class or the limit on buffered output is reached. */
   write(lineClass: LineClass, event: string, details: Readonly<Record<string, unknown>>): void {
     this.#startPeriod();
-    const limit = lineClass === 'routine' ? ROUTINE_PER_S : NOTABLE_PER_S;
-    const isOver = lineClass !== 'always' && this.#written[lineClass] >= limit;
-    if (isOver || this.output.writableLength > MAX_UNREAD_BYTES) {
-      if (lineClass !== 'routine') this.#dropped += 1;
+    const limit = lineClass === 'routine' ? MAX_ROUTINE_LINES_PER_S : MAX_NOTABLE_LINES_PER_S;
+    const exceedsLimit = lineClass !== 'always' && this.#linesWritten[lineClass] >= limit;
+    if (exceedsLimit || this.output.writableLength > MAX_BUFFERED_BYTES) {
+      if (lineClass !== 'routine') this.#linesDropped += 1;
       return;
     }
-    this.#written[lineClass] += 1;
+    this.#linesWritten[lineClass] += 1;
     this.#logger.info(details, event);
   }
 
@@ -62,10 +62,10 @@
     const now = this.now();
     if (now - this.#periodStartMs < PERIOD_MS) return;
     this.#periodStartMs = now;
-    this.#written = { routine: 0, notable: 0, always: 0 };
-    if (this.#dropped === 0) return;
-    const dropped = this.#dropped;
-    this.#dropped = 0;
+    this.#linesWritten = { routine: 0, notable: 0, always: 0 };
+    if (this.#linesDropped === 0) return;
+    const dropped = this.#linesDropped;
+    this.#linesDropped = 0;
     this.#logger.info({ dropped }, 'lines_dropped');
   }
 }
--- a/src/observability/deferred-metrics.test.ts
+++ b/src/observability/deferred-metrics.test.ts
@@ -1,5 +1,5 @@
 /**
- * Figures that are loaded after the first requests.
+ * Calls recorded before the metrics module is loaded must not be lost.
  *
  * @packageDocumentation
  */
@@ -18,7 +18,7 @@
   groups: [],
 };
 
-test('what happens before the figures are loaded is counted', async () => {
+test('calls made before the metrics are loaded are counted', async () => {
   const metrics = new DeferredMetrics(60_000);
   metrics.requestEnded('read', 'served', 5);
   metrics.happened('started');
--- a/src/observability/deferred-metrics.ts
+++ b/src/observability/deferred-metrics.ts
@@ -1,27 +1,27 @@
 /**
- * The figures of a daemon, loaded some time after its start: loading them would take a tenth of the time until it serves.
- * What happens before is kept, and counted then.
+ * Metrics whose module is loaded some time after the daemon's start, since loading it would take a tenth of the start-up time.
+ * Calls made before that are buffered and replayed once the module is loaded.
  *
  * @packageDocumentation
  */
 import type { RelayMetrics, RelayState } from './relay-metrics.js';
 
-/** Calls that are kept before the figures are loaded; more are not counted. */
-const MAX_KEPT = 20_000;
+/** Maximum number of calls buffered before the metrics are loaded; further calls are discarded. */
+const MAX_BUFFERED_CALLS = 20_000;
 
-/** What is counted while requests are served. */
+/** The recording half of {@link RelayMetrics}. */
 export type MetricsRecorder = Pick<
   RelayMetrics,
   'requestEnded' | 'memberAnswered' | 'decided' | 'happened' | 'entryLeftOut' | 'itemNotNewer'
 >;
 
-/** Figures that are loaded late. */
+/** Buffers recording calls until the metrics module is loaded. */
 export class DeferredMetrics implements MetricsRecorder {
-  readonly #kept: ((metrics: MetricsRecorder) => void)[] = [];
+  readonly #bufferedCalls: ((metrics: MetricsRecorder) => void)[] = [];
   #metrics: RelayMetrics | null = null;
   #loading: Promise<RelayMetrics> | null = null;
 
-  /** @param delayMs - time until they are loaded unless somebody asks for them first, in milliseconds */
+  /** @param delayMs - time in milliseconds after which the metrics are loaded, unless they are read earlier */
   constructor(delayMs: number) {
     setTimeout(() => void this.#load(), delayMs).unref();
   }
@@ -50,21 +50,21 @@
     this.#record((metrics) => metrics.itemNotNewer());
   }
 
-  /** All figures as text. */
+  /** All metrics in the Prometheus text format. */
   async text(state: RelayState): Promise<string> {
     return (await this.#load()).text(state);
   }
 
   #record(call: (metrics: MetricsRecorder) => void): void {
     if (this.#metrics !== null) call(this.#metrics);
-    else if (this.#kept.length < MAX_KEPT) this.#kept.push(call);
+    else if (this.#bufferedCalls.length < MAX_BUFFERED_CALLS) this.#bufferedCalls.push(call);
   }
 
   #load(): Promise<RelayMetrics> {
     this.#loading ??= import('./relay-metrics.js').then(({ RelayMetrics }) => {
       const metrics = new RelayMetrics();
       this.#metrics = metrics;
-      for (const call of this.#kept.splice(0)) call(metrics);
+      for (const call of this.#bufferedCalls.splice(0)) call(metrics);
       return metrics;
     });
     return this.#loading;
--- a/src/observability/engine-metrics.ts
+++ b/src/observability/engine-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics of a daemon, in Prometheus form.
+ * Prometheus metrics of a daemon.
  *
  * @packageDocumentation
  */
@@ -42,12 +42,12 @@
     [],
   );
   readonly peers = this.#gauge('peers', 'Daemons known, by state', ['state']);
-  readonly cutRequests = this.#counter('cut_requests_total', 'Requests cut by a planned stop', []);
+  readonly abortedRequests = this.#counter('cut_requests_total', 'Requests cut by a planned stop', []);
 
-  /** Counters with their labels resolved, since there is one call for each statement. */
+  /** Statement counters with resolved labels, cached since every statement is counted. */
   readonly #statementCounters = new Map<string, { inc(): void }>();
 
-  /** Counts a statement by kind and by the role of its member. */
+  /** Counts a statement by database, kind and role of the member that it was sent to. */
   countStatement(database: string, kind: StatementKind, isPrimary: boolean): void {
     const target = isPrimary ? 'primary' : 'replica';
     const key = `${database} ${kind} ${target}`;
--- a/src/observability/explain-request.test.ts
+++ b/src/observability/explain-request.test.ts
@@ -1,5 +1,5 @@
 /**
- * From the id of a request to what decided it, over lines as daemons write them.
+ * Selection of the log lines that explain a request, from lines in the format that daemons write.
  *
  * @packageDocumentation
  */
@@ -25,8 +25,8 @@
 no line of a daemon
 `);
 
-describe('a line', () => {
-  test('is read with what a collector has put before it, and its quoted values', () => {
+describe('a log line', () => {
+  test('is parsed with quoted values and a prefix added by a log collector', () => {
     const again = LOG.find(({ event }) => event === 'write_again');
     assert.equal(again?.node, 'front-1');
     assert.equal(again?.fields.get('reason'), 'no connection: "late"');
@@ -35,7 +35,7 @@
 });
 
 describe('a request', () => {
-  test('is explained by its own lines, in order, and its end', () => {
+  test('is explained by its own lines, in order of time, and by its refusal', () => {
     const explanation = explainRequest('abc', [...LOG].reverse());
     assert.deepEqual(
       explanation?.decisions.map(({ event }) => event),
@@ -44,7 +44,7 @@
     assert.equal(explanation?.end?.fields.get('reason'), 'no leader');
   });
 
-  test('and by what happened to its group and its daemon around then, of no other', () => {
+  test('is explained by the events of its own group and daemon around that time only', () => {
     assert.deepEqual(
       explainRequest('abc', LOG)?.surroundings.map(({ event, node }) => `${event} ${node}`),
       ['promotion_begins front-2', 'order front-1', 'store_lost front-1'],
@@ -52,7 +52,7 @@
     assert.equal(explainRequest('abc', LOG, 0)?.surroundings.length, 2);
   });
 
-  test('that no line names is not explained', () => {
+  test('that occurs in no line has no explanation', () => {
     assert.equal(explainRequest('nobody', LOG), null);
   });
 });
--- a/src/observability/explain-request.ts
+++ b/src/observability/explain-request.ts
@@ -1,11 +1,12 @@
 /**
- * Collects from the logs of daemons what decided one request: its own lines, and what happened to its group meanwhile. Pure.
+ * Selects the log lines that explain the outcome of one request: its own, and the events of its group and daemons during that
+ * time. Pure.
  *
  * @packageDocumentation
  */
 import type { LogLine } from './log-line.js';
 
-/** Events of a group that decide what becomes of its requests. */
+/** Events of a group that influence the outcome of its requests. */
 const GROUP_EVENTS: ReadonlySet<string> = new Set([
   'evidence_gained',
   'evidence_lapsed',
@@ -23,7 +24,7 @@
   'replica_resumed',
 ]);
 
-/** Events of a daemon as a whole that decide what becomes of its requests. */
+/** Events of a daemon as a whole that influence the outcome of its requests. */
 const DAEMON_EVENTS: ReadonlySet<string> = new Set([
   'configuration_adopted',
   'configuration_rejected',
@@ -36,34 +37,34 @@
   'store_regained',
 ]);
 
-/** How far around a request's lines the surroundings are looked at, in milliseconds. */
-const AROUND_MS = 2000;
+/** Default time before and after a request in which other events are included, in milliseconds. */
+const DEFAULT_CONTEXT_MS = 2000;
 
-/** What the logs tell of a request. */
+/** The log lines that concern a request. */
 export interface RequestExplanation {
   readonly requestId: string;
-  /** The decisions that touched it, in order. */
+  /** Lines of the request itself, in order of time. */
   readonly decisions: readonly LogLine[];
-  /** What happened to its group, and to the daemons that had it, around that time. */
+  /** Events of its group and members and of the daemons that handled it, around that time. */
   readonly surroundings: readonly LogLine[];
-  /** How it ended, if a line says so: the line of its refusal. */
+  /** The line of its refusal; `null` when it was not refused. */
   readonly end: LogLine | null;
 }
 
-/** Explains a request; `null` when no line names it. */
+/** Explains a request; `null` when no line carries its id. */
 export function explainRequest(
   requestId: string,
   lines: readonly LogLine[],
-  aroundMs = AROUND_MS,
+  contextMs = DEFAULT_CONTEXT_MS,
 ): RequestExplanation | null {
-  const decisions = lines.filter(({ fields }) => fields.get('requestId') === requestId).sort(byTime);
+  const decisions = lines.filter(({ fields }) => fields.get('requestId') === requestId).sort(compareByTime);
   const [first] = decisions;
   const last = decisions.at(-1);
   if (first === undefined || last === undefined) return null;
   const end = decisions.find(({ event }) => event === 'refused') ?? null;
   const heldMs = Number(end?.fields.get('heldMs') ?? 0);
-  const fromMs = Math.min(Date.parse(first.time), Date.parse(last.time) - heldMs) - aroundMs;
-  const untilMs = Date.parse(last.time) + aroundMs;
+  const fromMs = Math.min(Date.parse(first.time), Date.parse(last.time) - heldMs) - contextMs;
+  const untilMs = Date.parse(last.time) + contextMs;
   const groups = new Set(decisions.map(({ fields }) => fields.get('group')));
   const members = new Set(decisions.map(({ fields }) => fields.get('member')));
   const nodes = new Set(decisions.map(({ node }) => node));
@@ -73,15 +74,15 @@
     if (DAEMON_EVENTS.has(line.event)) return nodes.has(line.node);
     if (!GROUP_EVENTS.has(line.event)) return false;
     const group = line.fields.get('group') ?? line.fields.get('groupName');
-    return (group !== undefined && groups.has(group)) || isNamed(members, line.fields.get('member'));
+    return (group !== undefined && groups.has(group)) || includesMember(members, line.fields.get('member'));
   });
-  return { requestId, decisions, surroundings: surroundings.sort(byTime), end };
+  return { requestId, decisions, surroundings: surroundings.sort(compareByTime), end };
 }
 
-function isNamed(members: ReadonlySet<string | undefined>, member: string | undefined): boolean {
+function includesMember(members: ReadonlySet<string | undefined>, member: string | undefined): boolean {
   return member !== undefined && members.has(member);
 }
 
-function byTime(left: LogLine, right: LogLine): number {
+function compareByTime(left: LogLine, right: LogLine): number {
   return Date.parse(left.time) - Date.parse(right.time);
 }
--- a/src/observability/fault-log.ts
+++ b/src/observability/fault-log.ts
@@ -1,32 +1,32 @@
 /**
- * Lines about faults that may come again and again: one for each subject and reason until the subject is good again, and few in
- * any time, whatever there is to say.
+ * Logs recurring faults without flooding the log: one line per subject and reason until the subject recovers, and a limited
+ * number of lines per period overall.
  *
  * @packageDocumentation
  */
 
-/** Lines in a period at most, and the period in milliseconds. */
-const LINES_PER_PERIOD = 10;
+/** Maximum number of lines in a period of {@link PERIOD_MS} milliseconds. */
+const MAX_LINES_PER_PERIOD = 10;
 const PERIOD_MS = 10_000;
-/** Subjects whose faults are remembered; the oldest are forgotten beyond that. */
+/** Maximum number of subjects whose faults are tracked; beyond it the oldest is evicted. */
 const MAX_SUBJECTS = 1000;
-/** Reasons that are remembered of one subject; others are not said. */
+/** Maximum number of reasons logged for one subject; further reasons are not logged. */
 const MAX_REASONS = 8;
 
-/** Writes such lines. */
+/** Deduplicates and rate-limits log lines about faults. */
 export class FaultLog {
-  readonly #reasons = new Map<string, Set<string>>();
+  readonly #reasonsBySubject = new Map<string, Set<string>>();
   #periodStartMs = Number.NEGATIVE_INFINITY;
-  #written = 0;
-  /** Lines left out of the log for their number alone, since the last that was written. */
-  #unsaid = 0;
+  #linesWritten = 0;
+  /** Lines suppressed by the rate limit since the last line that was written. */
+  #suppressedLines = 0;
 
   constructor(
     private readonly log: (event: string, details: Readonly<Record<string, unknown>>) => void,
     private readonly now: () => number,
   ) {}
 
-  /** A subject has a fault; neither the reason nor the details may quote what was found. */
+  /** Reports a fault of a subject; neither the reason nor the details may quote the data in which it was found. */
   tell(
     event: string,
     subject: string,
@@ -35,35 +35,35 @@
   ): void {
     if (!this.#isNew(`${event} ${subject}`, reason)) return;
     if (!this.#mayWrite()) {
-      this.#unsaid += 1;
+      this.#suppressedLines += 1;
       return;
     }
-    const unsaid = this.#unsaid === 0 ? {} : { unsaid: this.#unsaid };
-    this.#unsaid = 0;
+    const unsaid = this.#suppressedLines === 0 ? {} : { unsaid: this.#suppressedLines };
+    this.#suppressedLines = 0;
     this.log(event, { ...details, reason, ...unsaid });
   }
 
-  /** A subject is good again, or gone. */
+  /** Forgets the faults of a subject that has recovered or no longer exists. */
   clear(event: string, subject: string): void {
-    if (this.#reasons.size > 0) this.#reasons.delete(`${event} ${subject}`);
+    if (this.#reasonsBySubject.size > 0) this.#reasonsBySubject.delete(`${event} ${subject}`);
   }
 
   #isNew(subject: string, reason: string): boolean {
-    const known = this.#reasons.get(subject);
-    if (known === undefined) {
+    const knownReasons = this.#reasonsBySubject.get(subject);
+    if (knownReasons === undefined) {
       this.#remember(subject, reason);
       return true;
     }
-    if (known.has(reason) || known.size >= MAX_REASONS) return false;
-    known.add(reason);
+    if (knownReasons.has(reason) || knownReasons.size >= MAX_REASONS) return false;
+    knownReasons.add(reason);
     return true;
   }
 
   #remember(subject: string, reason: string): void {
-    this.#reasons.set(subject, new Set([reason]));
-    if (this.#reasons.size <= MAX_SUBJECTS) return;
-    for (const oldest of this.#reasons.keys()) {
-      this.#reasons.delete(oldest);
+    this.#reasonsBySubject.set(subject, new Set([reason]));
+    if (this.#reasonsBySubject.size <= MAX_SUBJECTS) return;
+    for (const oldest of this.#reasonsBySubject.keys()) {
+      this.#reasonsBySubject.delete(oldest);
       return;
     }
   }
@@ -72,14 +72,14 @@
     const now = this.now();
     if (now - this.#periodStartMs >= PERIOD_MS) {
       this.#periodStartMs = now;
-      this.#written = 0;
+      this.#linesWritten = 0;
     }
-    this.#written += 1;
-    return this.#written <= LINES_PER_PERIOD;
+    this.#linesWritten += 1;
+    return this.#linesWritten <= MAX_LINES_PER_PERIOD;
   }
 }
 
-/** What an exception is, without its message, which may quote a value. */
+/** The name of an exception's class, without its message, which may quote a value. */
 export function nameFault(error: unknown): string {
   return error instanceof Error ? error.name : typeof error;
 }
--- a/src/observability/http-server.ts
+++ b/src/observability/http-server.ts
@@ -1,22 +1,22 @@
 /**
- * Health, metrics and status over HTTP.
+ * HTTP endpoints for health checks, metrics and status.
  *
  * @packageDocumentation
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Registry } from 'prom-client';
 
-/** What the server shows. */
+/** Data sources of the endpoints. */
 export interface HttpServerPorts {
   readonly registry: Registry;
-  /** Brings gauges up to date before they are read. */
+  /** Updates the gauges before they are read. */
   collect(): void;
-  /** Why the daemon cannot serve, or `null`. */
+  /** The reason why the daemon cannot serve requests; `null` when it can. */
   unavailableReason(): string | null;
   status(): unknown;
 }
 
-/** Answers `/healthz`, `/readyz`, `/metrics` and `/status`. */
+/** Serves `/healthz`, `/readyz`, `/metrics` and `/status`. */
 export class HttpServer {
   readonly #server: Server;
 
@@ -24,7 +24,7 @@
     this.#server = createServer((request, response) => void this.#handle(request, response));
   }
 
-  /** Starts to listen. */
+  /** Resolves once the server is listening. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Stops at once. */
+  /** Stops listening and closes all open connections at once. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
--- a/src/observability/log-line.ts
+++ b/src/observability/log-line.ts
@@ -1,26 +1,26 @@
 /**
- * Reads the lines that daemons write: `key=value` pairs, values quoted as in JSON where they need it. Pure.
+ * Parses the log lines of daemons: `key=value` pairs whose values are quoted as JSON strings where necessary. Pure.
  *
  * @packageDocumentation
  */
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface LogLine {
-  /** Time of day as the daemon had it, ISO 8601. */
+  /** Wall-clock time of the daemon, ISO 8601. */
   readonly time: string;
   readonly event: string;
-  /** The daemon that wrote it. */
+  /** Name of the daemon that wrote the line. */
   readonly node: string;
-  /** All fields, the ones above included. */
+  /** All fields, including the ones above. */
   readonly fields: ReadonlyMap<string, string>;
 }
 
-const PAIR = /([A-Za-z]\w*)=("(?:[^"\\]|\\.)*"|[^\s"]*)/g;
+const KEY_VALUE_PATTERN = /([A-Za-z]\w*)=("(?:[^"\\]|\\.)*"|[^\s"]*)/g;
 
-/** Reads one line, whatever a collector has put before it; `null` when it is not a daemon's. */
+/** Parses one line, ignoring a prefix added by a log collector; `null` when it is not a line of a daemon. */
 export function parseLogLine(text: string): LogLine | null {
   const fields = new Map<string, string>();
-  for (const [, key = '', value = ''] of text.matchAll(PAIR)) fields.set(key, unquote(value));
+  for (const [, key = '', value = ''] of text.matchAll(KEY_VALUE_PATTERN)) fields.set(key, unquote(value));
   const time = fields.get('time');
   const event = fields.get('event');
   if (time === undefined || event === undefined) return null;
--- a/src/observability/logger.ts
+++ b/src/observability/logger.ts
@@ -1,20 +1,19 @@
 /**
- * Structured logs: one line of key=value pairs for each event.
+ * Structured logging: one line of `key=value` pairs per event.
  *
  * @packageDocumentation
  */
 import { pino, type Logger as PinoLogger } from 'pino';
 
-/** Levels that the settings offer. */
+/** Log levels accepted in the settings. */
 export const LOG_LEVELS = ['error', 'warn', 'info', 'debug', 'silent'] as const;
 
-/** A log level. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** The logger that modules are given. */
+/** The logger type that modules depend on. */
 export type Logger = PinoLogger;
 
-const UNQUOTED = /^[\w.:/@,+-]+$/;
+const UNQUOTED_VALUE_PATTERN = /^[\w.:/@,+-]+$/;
 
 /** Creates a logger that writes to standard error. */
 export function createLogger(level: LogLevel, bindings: Readonly<Record<string, string>>): Logger {
@@ -29,7 +28,7 @@
   return pino(options, destination);
 }
 
-/** Turns a line of JSON into key=value pairs. */
+/** Formats a JSON log record as a line of `key=value` pairs. */
 export function formatLine(json: string): string {
   const fields = JSON.parse(json) as Record<string, unknown>;
   const { time, level, event, ...rest } = fields;
@@ -41,5 +40,5 @@
 function formatValue(value: unknown): string {
   const text = typeof value === 'string' ? value : JSON.stringify(value);
   if (text === undefined) return '""';
-  return UNQUOTED.test(text) ? text : JSON.stringify(text);
+  return UNQUOTED_VALUE_PATTERN.test(text) ? text : JSON.stringify(text);
 }
--- a/src/observability/relay-metrics.ts
+++ b/src/observability/relay-metrics.ts
@@ -1,26 +1,26 @@
 /**
- * Counters and histograms of a relay daemon, in Prometheus form. No label grows with clients.
+ * Prometheus metrics of a relay daemon. No label has a value per client, so the number of series is bounded.
  *
  * @packageDocumentation
  */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-/** Bounds of the latency histograms, in seconds. */
+/** Bucket boundaries of the latency histograms, in seconds. */
 const LATENCY_BUCKETS_S = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2];
 
-/** State that is read when the figures are asked for. */
+/** State from which the gauges are set when the metrics are read. */
 export interface RelayState {
   readonly clientConnections: number;
   readonly configurationVersion: number;
-  /** Era of the store, and revision as of which this daemon’s copy of it is. */
+  /** Era of the store and the store revision that this daemon’s copy reflects. */
   readonly storeEra: number;
   readonly storeRevision: number;
   readonly holdsDuty: boolean;
-  /** Daemons that take part in the work, this one included. */
+  /** Number of active daemons, including this one. */
   readonly liveDaemons: number;
-  /** Connections lent to other daemons now. */
+  /** Member connections currently lent to other daemons. */
   readonly openLoans: number;
-  /** Connections to members, and whether there is evidence of a leader, by group. */
+  /** Per group: connections to members, whether there is evidence of a leader, and its term. */
   readonly groups: readonly {
     readonly name: string;
     readonly memberConnections: number;
@@ -29,7 +29,7 @@
   }[];
 }
 
-/** The figures of one daemon. */
+/** Metrics of one daemon. */
 export class RelayMetrics {
   readonly #registry = new Registry();
   readonly #requests = this.#counter('requests_total', 'Requests of clients, by how they ended', [
@@ -38,79 +38,90 @@
   ]);
   readonly #decisions = this.#counter('decisions_total', 'Decisions about requests in trouble', ['decision']);
   readonly #events = this.#counter('events_total', 'Changes of what the daemon believes', ['event']);
-  readonly #leftOut = this.#counter('entries_left_out_total', 'Entries of the store that could not be read', [
-    'kind',
-    'fault',
-  ]);
-  readonly #notNewer = this.#counter(
+  readonly #unreadableEntries = this.#counter(
+    'entries_left_out_total',
+    'Entries of the store that could not be read',
+    ['kind', 'fault'],
+  );
+  readonly #itemsNotNewer = this.#counter(
     'items_not_newer_total',
     'Items of the store that were not taken, since a later one was held',
     [],
   );
-  readonly #requestSeconds = this.#histogram('request_seconds', 'Time to answer a request', ['statement']);
-  readonly #memberSeconds = this.#histogram('member_answer_seconds', 'Time of a member’s answer', [
+  readonly #requestDuration = this.#histogram('request_seconds', 'Time to answer a request', ['statement']);
+  readonly #memberResponseTime = this.#histogram('member_answer_seconds', 'Time of a member’s answer', [
     'statement',
     'role',
   ]);
-  readonly #clients = this.#gauge('client_connections', 'Open client connections', []);
-  readonly #version = this.#gauge('configuration_version', 'Version of the configuration in force', []);
+  readonly #clientConnections = this.#gauge('client_connections', 'Open client connections', []);
+  readonly #configurationVersion = this.#gauge(
+    'configuration_version',
+    'Version of the configuration in force',
+    [],
+  );
   readonly #storeEra = this.#gauge('store_era', 'How often the store has come back from a copy', []);
   readonly #storeRevision = this.#gauge(
     'store_revision',
     'Revision as of which the copy of the store is',
     [],
   );
-  readonly #duty = this.#gauge('promotion_duty_held', '1 while this daemon holds the promotion duty', []);
-  readonly #daemons = this.#gauge('live_daemons', 'Daemons that take part in the work', []);
-  readonly #loans = this.#gauge('open_loans', 'Member connections lent to other daemons', []);
-  readonly #links = this.#gauge('member_connections', 'Open connections to members', ['group']);
-  readonly #evidence = this.#gauge('leader_evidence', '1 while there is evidence of a leader', ['group']);
-  readonly #term = this.#gauge('leader_term', 'Term of the leader', ['group']);
+  readonly #promotionDutyHeld = this.#gauge(
+    'promotion_duty_held',
+    '1 while this daemon holds the promotion duty',
+    [],
+  );
+  readonly #liveDaemons = this.#gauge('live_daemons', 'Daemons that take part in the work', []);
+  readonly #openLoans = this.#gauge('open_loans', 'Member connections lent to other daemons', []);
+  readonly #memberConnections = this.#gauge('member_connections', 'Open connections to members', ['group']);
+  readonly #leaderEvidence = this.#gauge('leader_evidence', '1 while there is evidence of a leader', [
+    'group',
+  ]);
+  readonly #leaderTerm = this.#gauge('leader_term', 'Term of the leader', ['group']);
 
-  /** A request of a client has ended; `ms` is the time since it was read. */
+  /** Records the end of a client request; `ms` is the time since the request was read. */
   requestEnded(statement: string, outcome: string, ms: number): void {
     this.#requests.inc({ statement, outcome });
-    this.#requestSeconds.observe({ statement }, ms / 1000);
+    this.#requestDuration.observe({ statement }, ms / 1000);
   }
 
-  /** A member has answered. */
+  /** Records the response time of a member. */
   memberAnswered(statement: string, isLeader: boolean, ms: number): void {
-    this.#memberSeconds.observe({ statement, role: isLeader ? 'leader' : 'replica' }, ms / 1000);
+    this.#memberResponseTime.observe({ statement, role: isLeader ? 'leader' : 'replica' }, ms / 1000);
   }
 
-  /** A decision about a request in trouble. */
+  /** Counts a decision about a request that is not served normally. */
   decided(decision: string): void {
     this.#decisions.inc({ decision });
   }
 
-  /** What the daemon believes has changed. */
+  /** Counts an event that changes the daemon's view of the cluster. */
   happened(event: string): void {
     this.#events.inc({ event });
   }
 
-  /** An entry of the store could not be read. */
+  /** Counts a store entry that could not be read. */
   entryLeftOut(kind: string, fault: string): void {
-    this.#leftOut.inc({ kind, fault });
+    this.#unreadableEntries.inc({ kind, fault });
   }
 
-  /** An item of the store was not taken: a later one was held. */
+  /** Counts a store item that was ignored because a newer one was already held. */
   itemNotNewer(): void {
-    this.#notNewer.inc();
+    this.#itemsNotNewer.inc();
   }
 
-  /** All figures as text. */
+  /** All metrics in the Prometheus text format. */
   async text(state: RelayState): Promise<string> {
-    this.#clients.set(state.clientConnections);
-    this.#version.set(state.configurationVersion);
+    this.#clientConnections.set(state.clientConnections);
+    this.#configurationVersion.set(state.configurationVersion);
     this.#storeEra.set(state.storeEra);
     this.#storeRevision.set(state.storeRevision);
-    this.#duty.set(state.holdsDuty ? 1 : 0);
-    this.#daemons.set(state.liveDaemons);
-    this.#loans.set(state.openLoans);
+    this.#promotionDutyHeld.set(state.holdsDuty ? 1 : 0);
+    this.#liveDaemons.set(state.liveDaemons);
+    this.#openLoans.set(state.openLoans);
     for (const { name, memberConnections, hasEvidence, term } of state.groups) {
-      this.#links.set({ group: name }, memberConnections);
-      this.#evidence.set({ group: name }, hasEvidence ? 1 : 0);
-      this.#term.set({ group: name }, term);
+      this.#memberConnections.set({ group: name }, memberConnections);
+      this.#leaderEvidence.set({ group: name }, hasEvidence ? 1 : 0);
+      this.#leaderTerm.set({ group: name }, term);
     }
     return this.#registry.metrics();
   }
