--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -30,15 +30,15 @@
 }
 
 function runExplain(requestId: string, options: ExplainOptions): void {
-  const aroundMs = options.around === undefined ? undefined : Number(options.around);
-  if (aroundMs !== undefined && !(aroundMs >= 0)) {
+  const contextMs = options.around === undefined ? undefined : Number(options.around);
+  if (contextMs !== undefined && !(contextMs >= 0)) {
     printProblems([`--around: a number of milliseconds expected, not ${options.around}`]);
     process.exitCode = ExitCode.invalid;
     return;
   }
   try {
     const lines = options.log.flatMap(readLines);
-    printExplanation(requestId, explainRequest(requestId, lines, aroundMs), options.json);
+    printExplanation(requestId, explainRequest(requestId, lines, contextMs), options.json);
   } catch (error) {
     printProblems([`the log could not be read: ${(error as Error).message}`]);
     process.exitCode = ExitCode.invalid;
--- a/src/configuration/configuration-store.ts
+++ b/src/configuration/configuration-store.ts
@@ -64,8 +64,9 @@
   }
 
   /**
-   * The current configuration with its revision; `null` when none is stored or it is invalid. @throws
-   * JsonHttpError
+   * The current configuration with its revision; `null` when none is stored or it is invalid.
+   *
+   * @throws JsonHttpError
    */
   async readStored(): Promise<StoredConfiguration | null> {
     const stored = await this.store.get(this.#currentKey);
@@ -74,8 +75,9 @@
 
   /**
    * Writes back a configuration that was accepted earlier, replacing an older one that was read at the given
-   * revision; returns false when the stored configuration has changed since that revision. @throws
-   * JsonHttpError
+   * revision; returns false when the stored configuration has changed since that revision.
+   *
+   * @throws JsonHttpError
    */
   restore(configuration: Configuration, modRevision: number): Promise<boolean> {
     return this.#write(configuration, modRevision);
--- a/src/configuration/startup-gate.ts
+++ b/src/configuration/startup-gate.ts
@@ -48,13 +48,13 @@
   /** Records a response of the store; `null` when it holds no configuration. */
   recordStore(configuration: Configuration | null): void {
     this.#storeAnswered = true;
-    this.#keepNewest(configuration);
+    this.#updateNewest(configuration);
   }
 
   /** Records a peer's response: the version in force there, and the document if it was sent. */
   recordPeer(daemonId: string, version: number, configuration: Configuration | null): void {
     this.#peerVersions.set(daemonId, version);
-    this.#keepNewest(configuration);
+    this.#updateNewest(configuration);
   }
 
   /** True when a daemon has not responded yet. */
@@ -77,7 +77,7 @@
     return this.#newest === null ? { kind: 'wait' } : { kind: 'adopt', configuration: this.#newest };
   }
 
-  #keepNewest(configuration: Configuration | null): void {
+  #updateNewest(configuration: Configuration | null): void {
     if (configuration === null) return;
     if (this.#newest === null || configuration.version > this.#newest.version) this.#newest = configuration;
   }
--- a/src/daemon/configuration-service.ts
+++ b/src/daemon/configuration-service.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps a daemon's configuration current: from the store, and from other daemons when the store is away.
+ * Keeps a daemon's configuration up to date from the store, and from other daemons while the store is
+ * unavailable.
  *
  * @packageDocumentation
  */
@@ -11,42 +12,45 @@
 import type { Logger } from '../observability/logger.js';
 import { backoffDelayMs } from '../retry/backoff.js';
 
-/** What the service asks and tells its daemon. */
+/** Callbacks into the daemon. */
 export interface ConfigurationServicePorts {
   /** Number of daemons on the machine list, this one included. */
   daemonCount(): number;
-  /** Ids of the other daemons that are believed alive, in random order. */
+  /** Ids of the other daemons that are not known to be dead, in random order. */
   peerIds(): readonly string[];
   /**
-   * Asks one daemon for its version, and for the document if that is newer than the given one; the answer comes to
+   * Requests the configuration version of a daemon, and the document if its version is greater than the given
+   * one. `null` requests the version only. The response is passed to
    * {@link ConfigurationService.receiveFromPeer}.
    */
-  askPeer(daemonId: string, documentIfNewerThan: number | null): void;
-  /** True when this daemon is one of those that watch the store for the others of its zone. */
+  requestFromPeer(daemonId: string, documentIfNewerThan: number | null): void;
+  /** True when this daemon is one of those that watch the store on behalf of their zone. */
   isWatcher(): boolean;
-  /** A newer configuration is in force. */
+  /** Called when a newer configuration has come into force. */
   adopted(configuration: Configuration): void;
 }
 
-/** Time given to other daemons before the store's answer alone is trusted, in milliseconds. */
-const PEER_GRACE_MS = 1000;
-/** Daemons asked whether they know better than the store. */
-const PEERS_BESIDE_STORE = 8;
-/** Time given to a daemon to send its configuration before another is asked, in milliseconds. */
-const ASK_AGAIN_MS = 500;
-const STARTUP_RETRY_MS = 250;
+/** Grace period for the other daemons before a response of the store alone is trusted. */
+const PEER_GRACE_PERIOD_MS = 1000;
+/** Maximum number of daemons queried for a newer version per attempt once the store has responded. */
+const MAX_PEERS_QUERIED = 8;
+/** Time to wait for the configuration of a daemon before it is requested from another one. */
+const REQUEST_INTERVAL_MS = 500;
+const STARTUP_RETRY_INTERVAL_MS = 250;
 const WATCH_BACKOFF = { initialDelayMs: 200, maxDelayMs: 5000 };
-const WATCHER_CHECK_MS = 1000;
+const WATCHER_CHECK_INTERVAL_MS = 1000;
 
-/** Configuration of one daemon. */
+/** Obtains the configuration of one daemon and keeps it up to date. */
 export class ConfigurationService {
   readonly #holder = new ConfigurationHolder();
-  readonly #gate = new StartupGate(performance.now(), PEER_GRACE_MS);
+  readonly #gate = new StartupGate(performance.now(), PEER_GRACE_PERIOD_MS);
   readonly #abort = new AbortController();
-  /** When the configuration came into force, in milliseconds since the epoch; 0 for never. */
+  /**
+   * Time at which the current configuration came into force, in milliseconds since the epoch; 0 for never.
+   */
   adoptedAt = 0;
-  #isStarted = false;
-  #askAgainAtMs = 0;
+  #hasConfiguration = false;
+  #nextRequestAtMs = 0;
 
   constructor(
     private readonly store: ConfigurationStore,
@@ -59,67 +63,70 @@
     return this.#holder.current;
   }
 
-  /** Finds the first configuration, then follows the store. */
+  /** Obtains the first configuration, then watches the store. */
   start(): void {
-    void this.#findFirst().then(() => this.#follow());
+    void this.#obtainInitial().then(() => this.#watchStore());
   }
 
-  /** Stops to follow. */
+  /** Stops requesting and watching. */
   stop(): void {
     this.#abort.abort();
   }
 
-  /** Takes another daemon's answer. */
+  /** Handles a response of another daemon. */
   receiveFromPeer(daemonId: string, version: number, configuration: Configuration | null): void {
-    if (this.#isStarted) {
+    if (this.#hasConfiguration) {
       if (configuration !== null) this.#offer(configuration, `peer ${daemonId}`);
       return;
     }
     this.#gate.recordPeer(daemonId, version, configuration);
-    this.#tryStart('peers');
+    this.#tryAdoptInitial('peers');
   }
 
-  /** Hears which version another daemon has in force. */
-  hearVersion(daemonId: string, version: number): void {
+  /** Records the version in force at another daemon, and requests its configuration if that is newer. */
+  observeVersion(daemonId: string, version: number): void {
     const nowMs = performance.now();
-    if (!this.#isStarted || version <= this.#holder.version || nowMs < this.#askAgainAtMs) return;
-    this.#askAgainAtMs = nowMs + ASK_AGAIN_MS;
-    this.ports.askPeer(daemonId, this.#holder.version);
+    if (!this.#hasConfiguration || version <= this.#holder.version || nowMs < this.#nextRequestAtMs) return;
+    this.#nextRequestAtMs = nowMs + REQUEST_INTERVAL_MS;
+    this.ports.requestFromPeer(daemonId, this.#holder.version);
   }
 
-  async #findFirst(): Promise<void> {
-    while (!this.#isStarted && !this.#abort.signal.aborted) {
-      this.#askPeers();
+  async #obtainInitial(): Promise<void> {
+    while (!this.#hasConfiguration && !this.#abort.signal.aborted) {
+      this.#requestFromPeers();
       try {
         this.#gate.recordStore(await this.store.read());
-        this.#tryStart('store');
+        this.#tryAdoptInitial('store');
       } catch (error) {
         this.log.warn({ error: (error as Error).message }, 'store_unavailable');
       }
-      if (!this.#isStarted) await delay(STARTUP_RETRY_MS);
+      if (!this.#hasConfiguration) await delay(STARTUP_RETRY_INTERVAL_MS);
     }
   }
 
-  /** A few daemons are enough beside the store; without it a majority has to answer. */
-  #askPeers(): void {
+  /**
+   * Once the store has responded, a few daemons are queried; until then all, since a majority has to respond.
+   */
+  #requestFromPeers(): void {
     const missing = this.ports.peerIds().filter((daemonId) => this.#gate.isMissing(daemonId));
-    const asked = this.#gate.hasStoreAnswered ? missing.slice(0, PEERS_BESIDE_STORE) : missing;
-    for (const daemonId of asked) this.ports.askPeer(daemonId, null);
+    const queried = this.#gate.hasStoreAnswered ? missing.slice(0, MAX_PEERS_QUERIED) : missing;
+    for (const daemonId of queried) this.ports.requestFromPeer(daemonId, null);
   }
 
-  #tryStart(source: string): void {
-    if (this.#isStarted) return;
+  #tryAdoptInitial(source: string): void {
+    if (this.#hasConfiguration) return;
     const decision = this.#gate.decide(this.ports.daemonCount(), performance.now());
-    if (decision.kind === 'fetch') this.ports.askPeer(decision.daemonId, this.#gate.newestVersion);
+    if (decision.kind === 'fetch') this.ports.requestFromPeer(decision.daemonId, this.#gate.newestVersion);
     if (decision.kind !== 'adopt') return;
-    this.#isStarted = true;
+    this.#hasConfiguration = true;
     this.#offer(decision.configuration, source);
   }
 
   /**
-   * A store that holds an older configuration than the one in force has lost its history, or answers from an old snapshot. It is given
-   * the newer one, which an operator has had accepted: the next publication has to build on that. A snapshot changes nothing: what was
-   * read there is compared.
+   * Offers a stored configuration, and restores the one in force if the stored one is older. The store has
+   * then lost its history or responded from an old snapshot. The newer configuration is an accepted
+   * publication of an operator, so the next publication has to build on it. After a read from an old snapshot
+   * the write has no effect, since it compares the revision that was read.
    */
   #offerStored({ configuration, modRevision }: StoredConfiguration): void {
     this.#offer(configuration, 'store');
@@ -144,12 +151,12 @@
     this.ports.adopted(configuration);
   }
 
-  /** Watches the store while this daemon is a watcher; reads it once before each watch. */
-  async #follow(): Promise<void> {
+  /** Watches the store while this daemon is a watcher; reads the configuration once before each watch. */
+  async #watchStore(): Promise<void> {
     const { signal } = this.#abort;
     for (let attempt = 0; !signal.aborted; attempt += 1) {
       if (!this.ports.isWatcher()) {
-        await delay(WATCHER_CHECK_MS, undefined, { signal }).catch(() => undefined);
+        await delay(WATCHER_CHECK_INTERVAL_MS, undefined, { signal }).catch(() => undefined);
         continue;
       }
       try {
--- a/src/daemon/controller-options.ts
+++ b/src/daemon/controller-options.ts
@@ -1,5 +1,5 @@
 /**
- * Options of a database's controller, from the daemon's settings.
+ * Builds the options of a database's controller from the daemon's settings.
  *
  * @packageDocumentation
  */
@@ -12,7 +12,7 @@
 import { MemberPool } from '../pool/member-pool.js';
 import type { Settings } from '../settings/settings.js';
 
-/** What the options are made from. */
+/** Inputs of the options besides the database itself. */
 export interface ControllerContext {
   readonly settings: Settings;
   readonly log: Logger;
--- a/src/daemon/daemon-status.ts
+++ b/src/daemon/daemon-status.ts
@@ -1,21 +1,21 @@
 /**
- * What a daemon says of itself, of its peers and of the databases that it owns.
+ * Status report of a daemon: its own state, its peers and its databases.
  *
  * @packageDocumentation
  */
 import type { PeerRecord } from '../membership/peer-record.js';
 import type { DatabaseController } from '../ownership/database-controller.js';
 
-/** State of a database at a daemon. */
+/** State of a database as seen by a daemon. */
 export interface DatabaseStatus {
   readonly name: string;
   readonly owner: string | null;
   readonly term: number | null;
-  readonly members: readonly MemberStatusLine[];
+  readonly members: readonly DatabaseMemberStatus[];
 }
 
 /** State of a member at the daemon that owns its database. */
-export interface MemberStatusLine {
+export interface DatabaseMemberStatus {
   readonly id: string;
   readonly zone: string;
   readonly role: string | null;
@@ -29,9 +29,9 @@
   readonly waiting: number;
 }
 
-/** Another daemon, or this one, as this one knows it. */
+/** State of another daemon, or of this one, as known to this one. */
 export interface PeerStatus extends PeerRecord {
-  /** Version of the configuration in force there when it was last heard; 0 for none. */
+  /** Configuration version that the daemon last reported; 0 for none. */
   readonly configurationVersion: number;
 }
 
@@ -41,15 +41,15 @@
   readonly isStopping: boolean;
   readonly configurationVersion: number;
   readonly configurationIdentity: string | null;
-  /** When the configuration came into force here, in milliseconds since the epoch; 0 for never. */
+  /** Time at which the configuration came into force here, in milliseconds since the epoch; 0 for never. */
   readonly configurationAdoptedAt: number;
   readonly clientConnections: number;
   readonly peerLinks: number;
-  /** Records of daemons that are still being passed on. */
+  /** Number of daemon records that are still being gossiped. */
   readonly pendingNews: number;
   /** Bytes sent to and received from other daemons, forwarded requests included. */
   readonly peerTrafficBytes: number;
-  /** Bytes sent to and received from members for watching them. */
+  /** Bytes sent to and received from members on control connections. */
   readonly memberControlBytes: number;
   /** Bytes sent to and received from the machine list. */
   readonly platformTrafficBytes: number;
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon: puts its parts together.
+ * One daemon: constructs its components and connects them.
  *
  * @packageDocumentation
  */
@@ -31,12 +31,12 @@
 import { describeDatabase, type DaemonStatus, type PeerStatus } from './daemon-status.js';
 import { LocalTarget, RemoteTarget } from './request-targets.js';
 
-/** Daemons of a zone that watch the store for the others. */
+/** Number of daemons per zone that watch the store on behalf of the others. */
 const WATCHERS_PER_ZONE = 2;
-/** Unknown daemons contacted at a time: their answers tell of the others. */
-const FIRST_CONTACTS = 3;
+/** Maximum number of unknown daemons contacted at a time; their responses carry the records of the others. */
+const MAX_INITIAL_CONTACTS = 3;
 const FORGET_PEER_AFTER_MS = 60_000;
-const MAX_NEWS_PER_MESSAGE = 8;
+const MAX_UPDATES_PER_MESSAGE = 8;
 
 /** A running daemon. */
 export class Daemon {
@@ -50,8 +50,8 @@
   readonly #peerServer: PeerServer;
   readonly #clientServer: ClientServer;
   readonly #ranks = new RankTable();
-  /** Version that each daemon last said it had in force. */
-  readonly #versions = new Map<string, number>();
+  /** Configuration version that each daemon last reported. */
+  readonly #peerVersions = new Map<string, number>();
   #controlTimer: NodeJS.Timeout | null = null;
   #policy = Policy.empty;
   #isStopping = false;
@@ -61,14 +61,14 @@
   constructor(
     private readonly settings: Settings,
     private readonly log: Logger,
-    /** Random numbers in 0..1. */
+    /** Returns random numbers in the range from 0 to 1. */
     private readonly random: () => number = Math.random,
   ) {
     const { timing } = settings;
     this.#table = new MembershipTable(createOwnRecord(settings), {
       suspicionTimeoutMs: timing.suspicionTimeoutMs,
       forgetAfterMs: FORGET_PEER_AFTER_MS,
-      maxUpdatesPerMessage: MAX_NEWS_PER_MESSAGE,
+      maxUpdatesPerMessage: MAX_UPDATES_PER_MESSAGE,
     });
     this.#links = this.#createLinks();
     this.#gossip = this.#createGossip();
@@ -78,7 +78,7 @@
     this.#clientServer = this.#createClientServer();
   }
 
-  /** Starts to listen and to take part. */
+  /** Joins the cluster, starts the background tasks and then accepts clients. */
   async start(): Promise<void> {
     const { listen, daemon } = this.settings;
     await this.#peerServer.listen(listen.peer.host, listen.peer.port);
@@ -92,29 +92,32 @@
     this.log.info({ daemon: daemon.id, zone: daemon.zone, port: listen.client.port }, 'daemon_started');
   }
 
-  /** Drains and stops; returns how many requests and transactions were cut. */
+  /** Drains and stops; returns the number of requests and transactions that were aborted. */
   async stop(): Promise<number> {
     this.#isStopping = true;
     const { drainTimeoutMs } = this.settings.timing;
     this.log.info({ drainTimeoutMs }, 'drain_started');
     this.#table.updateOwn({ state: 'leaving' });
     this.#gossip.spreadNow();
-    const handedOver = Promise.all([...this.#controllers.values()].map((c) => c.stop(drainTimeoutMs)));
-    const cutClients = await this.#clientServer.drain(drainTimeoutMs);
-    const cut = (await handedOver).reduce((total, count) => total + count, cutClients);
-    this.metrics.abortedRequests.inc(cut);
+    const controllerStops = Promise.all([...this.#controllers.values()].map((c) => c.stop(drainTimeoutMs)));
+    const abortedClientRequests = await this.#clientServer.drain(drainTimeoutMs);
+    const abortedRequests = (await controllerStops).reduce(
+      (total, count) => total + count,
+      abortedClientRequests,
+    );
+    this.metrics.abortedRequests.inc(abortedRequests);
     if (this.#controlTimer !== null) clearInterval(this.#controlTimer);
     this.#configuration.stop();
     this.#machines.stop();
     this.#gossip.stop();
-    await new Promise((resolve) => setTimeout(resolve, LAST_MESSAGES_MS));
+    await new Promise((resolve) => setTimeout(resolve, FINAL_SEND_DELAY_MS));
     this.#links.close();
     this.#peerServer.close();
-    this.log.info({ cut }, 'daemon_stopped');
-    return cut;
+    this.log.info({ cut: abortedRequests }, 'daemon_stopped');
+    return abortedRequests;
   }
 
-  /** State for `sorrelladder status`. */
+  /** The state that `sorrelladder status` prints. */
   status(): DaemonStatus {
     return {
       daemon: this.settings.daemon,
@@ -138,13 +141,13 @@
     };
   }
 
-  /** Why the daemon cannot serve, or `null`. */
+  /** The reason why the daemon cannot serve requests; `null` when it can. */
   unavailableReason(): string | null {
     if (this.#isStopping) return 'the daemon is stopping';
     return this.#configuration.current === null ? 'no configuration is in force yet' : null;
   }
 
-  /** Brings the gauges up to date. */
+  /** Updates the gauges. */
   collectGauges(): void {
     const { metrics } = this;
     metrics.clientConnections.set(this.#clientServer.connectionCount);
@@ -174,7 +177,7 @@
       silenceTimeoutMs: timing.linkSilenceTimeoutMs,
       idleTimeoutMs: timing.linkIdleTimeoutMs,
       hello: () => this.#table.own,
-      onMessage: (daemonId, message) => this.#handleAnswer(daemonId, message),
+      onMessage: (daemonId, message) => this.#handlePeerResponse(daemonId, message),
       onLost: (daemonId) => this.#gossip.probeNow(daemonId),
     });
   }
@@ -191,9 +194,9 @@
       random: this.random,
       onChange: () => (this.#isRankingStale = true),
       configurationVersion: () => this.#configuration.current?.version ?? 0,
-      onVersion: (daemonId, version) => this.#hearVersion(daemonId, version),
+      onVersion: (daemonId, version) => this.#observeVersion(daemonId, version),
       onDead: ({ daemonId }) => {
-        this.#versions.delete(daemonId);
+        this.#peerVersions.delete(daemonId);
         this.#isRankingStale = true;
         this.log.warn({ peer: daemonId }, 'peer_dead');
       },
@@ -221,7 +224,8 @@
       {
         daemonCount: () => Math.max(this.#machines.daemonCount, this.settings.seeds.length + 1, 2),
         peerIds: () => shuffle(this.#table.others, this.random).map(({ daemonId }) => daemonId),
-        askPeer: (daemonId, documentIfNewerThan) => this.#askConfiguration(daemonId, documentIfNewerThan),
+        requestFromPeer: (daemonId, documentIfNewerThan) =>
+          this.#requestConfiguration(daemonId, documentIfNewerThan),
         isWatcher: () => this.#isWatcher(),
         adopted: (configuration) => this.#adopt(configuration),
       },
@@ -268,7 +272,7 @@
       ({ id }) => id !== this.settings.daemon.id && this.#table.find(id) === null,
     );
     const start = Math.floor(this.random() * unknown.length);
-    for (const { id, host, port } of [...unknown.slice(start), ...unknown].slice(0, FIRST_CONTACTS)) {
+    for (const { id, host, port } of [...unknown.slice(start), ...unknown].slice(0, MAX_INITIAL_CONTACTS)) {
       this.#gossip.syncWith({ daemonId: id, host, port });
     }
   }
@@ -282,15 +286,16 @@
       const { current } = this.#configuration;
       const version = current?.version ?? 0;
       const { documentIfNewerThan } = message;
-      const isWanted = documentIfNewerThan !== null && version > documentIfNewerThan;
-      const document = isWanted && current !== null ? toDocument(current, message.databasesDigest) : null;
+      const sendsDocument = documentIfNewerThan !== null && version > documentIfNewerThan;
+      const document =
+        sendsDocument && current !== null ? toDocument(current, message.databasesDigest) : null;
       reply({ kind: 'configurationReply', version, document });
       return;
     }
     this.#gossip.handleIncoming(message, reply);
   }
 
-  #handleAnswer(daemonId: string, message: PeerMessage): void {
+  #handlePeerResponse(daemonId: string, message: PeerMessage): void {
     if (message.kind === 'configurationReply') {
       const { version, document } = message;
       const configuration = document === null ? null : fromDocument(document, this.#configuration.current);
@@ -300,7 +305,7 @@
     this.#gossip.handleAnswer(daemonId, message);
   }
 
-  #askConfiguration(daemonId: string, documentIfNewerThan: number | null): void {
+  #requestConfiguration(daemonId: string, documentIfNewerThan: number | null): void {
     const record = this.#table.find(daemonId);
     if (record !== null) {
       const databasesDigest = digestDatabases(this.#configuration.current);
@@ -308,9 +313,9 @@
     }
   }
 
-  #hearVersion(daemonId: string, version: number): void {
-    this.#versions.set(daemonId, version);
-    this.#configuration.hearVersion(daemonId, version);
+  #observeVersion(daemonId: string, version: number): void {
+    this.#peerVersions.set(daemonId, version);
+    this.#configuration.observeVersion(daemonId, version);
   }
 
   #isWatcher(): boolean {
@@ -361,13 +366,13 @@
     this.#isRankingStale = true;
   }
 
-  /** Looks after the databases that this daemon owns or is a candidate for. */
+  /** Runs the controllers of the databases that this daemon owns or is a candidate for. */
   #tick(): void {
-    if (this.#isRankingStale) this.#rankAnew();
+    if (this.#isRankingStale) this.#updateRanking();
     for (const controller of this.#controllers.values()) if (controller.isActive) controller.tick();
   }
 
-  #rankAnew(): void {
+  #updateRanking(): void {
     this.#isRankingStale = false;
     this.#ranks.update([...this.#controllers.keys()], this.#table.candidateIds);
   }
@@ -389,7 +394,10 @@
 
   // --- requests
 
-  /** The lag is known to the owner only, which decides again; here the deadline and repeatability are of use. */
+  /**
+   * Applies the policy with a lag of 0, since only the owner knows the lag and applies the policy again. Here
+   * the deadline and the repeatability are used.
+   */
   #decide(request: StatementRequest): PolicyDecision {
     return this.#policy.decide(policySubject(request, new Date().getUTCHours(), 0));
   }
@@ -419,12 +427,12 @@
   #peerStatus(record: PeerRecord): PeerStatus {
     const isOwn = record.daemonId === this.settings.daemon.id;
     const own = this.#configuration.current?.version ?? 0;
-    return { ...record, configurationVersion: isOwn ? own : (this.#versions.get(record.daemonId) ?? 0) };
+    return { ...record, configurationVersion: isOwn ? own : (this.#peerVersions.get(record.daemonId) ?? 0) };
   }
 }
 
-/** Time for the last messages to leave before links are closed, in milliseconds. */
-const LAST_MESSAGES_MS = 50;
+/** Time for the last messages to be sent before the links are closed. */
+const FINAL_SEND_DELAY_MS = 50;
 
 function createOwnRecord(settings: Settings): PeerRecord {
   const { host, port } = settings.advertise?.peer ?? settings.listen.peer;
--- a/src/daemon/request-targets.ts
+++ b/src/daemon/request-targets.ts
@@ -1,5 +1,5 @@
 /**
- * Where a router may send a request: this daemon's own engine, or another daemon.
+ * Targets to which the router can send a request: this daemon's own engine, or another daemon.
  *
  * @packageDocumentation
  */
@@ -8,7 +8,7 @@
 import type { RequestTarget } from '../entry/request-router.js';
 import type { PeerLink } from '../peer/peer-link.js';
 
-/** This daemon. */
+/** Executes requests on this daemon's engine. */
 export class LocalTarget implements RequestTarget {
   constructor(
     readonly daemonId: string,
@@ -30,7 +30,7 @@
   }
 }
 
-/** Another daemon. */
+/** Forwards requests to another daemon. */
 export class RemoteTarget implements RequestTarget {
   constructor(
     readonly daemonId: string,
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,8 +1,8 @@
 /**
- * sorrelladder as a library: the coordination parts that the daemons are made of.
+ * The library interface of sorrelladder: the coordination components on which the daemons are built.
  *
- * All of these are pure: no sockets, clocks or random sources; time is passed in, in milliseconds of a monotonic
- * clock.
+ * All components are pure: they use no sockets, clocks or random sources. Times are passed in as milliseconds
+ * of a monotonic clock.
  *
  * @packageDocumentation
  */
--- a/src/launch/code-cache.test.ts
+++ b/src/launch/code-cache.test.ts
@@ -1,5 +1,6 @@
 /**
- * A program is loaded with and without code compiled in advance.
+ * Loading a program with and without a code cache. A cache that V8 rejects must not prevent the program from
+ * loading.
  *
  * @packageDocumentation
  */
@@ -13,7 +14,9 @@
 const folder = mkdtempSync(join(tmpdir(), 'sorrelladder-'));
 after(() => rmSync(folder, { recursive: true }));
 
-/** A program of its own: V8 remembers in this process what it has compiled. */
+/**
+ * Writes a program with distinct source text for each test, since V8 caches compiled code within the process.
+ */
 function program(name: string): string {
   const file = join(folder, `${name}.cjs`);
   writeFileSync(file, `exports.${name} = () => require('node:path').basename(__filename);`);
@@ -25,13 +28,13 @@
   return { isCached, answer: (exports as Record<string, () => unknown>)[name]?.() };
 }
 
-test('a program is loaded from its compiled code', () => {
+test('a program is loaded from its code cache', () => {
   const file = program('compiled');
   writeCodeCache(file);
   assert.deepEqual(load(file, 'compiled'), { isCached: true, answer: 'compiled.cjs' });
 });
 
-test('and as usual where there is none, or none that fits', () => {
+test('a program is compiled when it has no code cache or V8 rejects the cache', () => {
   assert.deepEqual(load(program('plain'), 'plain'), { isCached: false, answer: 'plain.cjs' });
   const file = program('spoilt');
   writeFileSync(`${file}.cache`, 'no compiled code');
--- a/src/launch/code-cache.ts
+++ b/src/launch/code-cache.ts
@@ -1,7 +1,9 @@
 /**
- * Loads a bundled program with the code that V8 compiled at build time, so that a process starts faster.
+ * Loads a bundled program with a V8 code cache that was written at build time, so that a process starts
+ * faster.
  *
- * V8 refuses a cache of another version or of other flags; the program is then compiled as usual.
+ * V8 rejects a cache that was written by another version or with other flags; the program is then compiled as
+ * usual.
  *
  * @packageDocumentation
  */
@@ -18,30 +20,33 @@
   folder: string,
 ) => void;
 
-/** A program as loaded. */
+/** A loaded program. */
 export interface LoadedProgram {
   readonly exports: object;
-  /** True when the compiled code was used. */
+  /** True when the code cache was used. */
   readonly isCached: boolean;
 }
 
-/** Loads a CommonJS bundle. */
+/** Loads a CommonJS bundle, using its code cache if there is a valid one. */
 export function loadProgram(file: string): LoadedProgram {
-  const cache = cacheOf(file);
-  const cachedData = existsSync(cache) ? readFileSync(cache) : undefined;
+  const cacheFile = cachePathOf(file);
+  const cachedData = existsSync(cacheFile) ? readFileSync(cacheFile) : undefined;
   const script = compile(file, cachedData);
   const isCached = cachedData !== undefined && script.cachedDataRejected === false;
-  return { exports: run(script, file), isCached };
+  return { exports: execute(script, file), isCached };
 }
 
-/** Compiles a CommonJS bundle and keeps the result beside it; what the bundle does when it is loaded, it does. */
+/**
+ * Compiles and executes a CommonJS bundle, including its side effects on loading, and writes the code cache
+ * next to it.
+ */
 export function writeCodeCache(file: string): void {
   const script = compile(file, undefined);
-  run(script, file);
-  writeFileSync(cacheOf(file), script.createCachedData());
+  execute(script, file);
+  writeFileSync(cachePathOf(file), script.createCachedData());
 }
 
-function cacheOf(file: string): string {
+function cachePathOf(file: string): string {
   return `${file}.cache`;
 }
 
@@ -50,7 +55,7 @@
   return new Script(source, { filename: file, cachedData });
 }
 
-function run(script: Script, file: string): object {
+function execute(script: Script, file: string): object {
   const module = { exports: {} };
   const wrapper = script.runInThisContext() as CommonJsWrapper;
   wrapper(module.exports, createRequire(file), module, file, dirname(file));
--- a/src/observability/fault-log.ts
+++ b/src/observability/fault-log.ts
@@ -82,7 +82,7 @@
   }
 }
 
-/** The name of an exception's class, without its message, which may quote a value. */
+/** The name of an error, or the type of another thrown value; omits the message, which may quote a value. */
 export function nameFault(error: unknown): string {
   return error instanceof Error ? error.name : typeof error;
 }
--- a/src/policy/policy-document.ts
+++ b/src/policy/policy-document.ts
@@ -1,24 +1,25 @@
 /**
- * The form of a policy program: ordered rules whose conditions are CEL expressions, with its own test cases.
+ * Schema of a policy document: ordered rules whose conditions are CEL expressions, and the policy's own test
+ * cases.
  *
  * @packageDocumentation
  */
 import { z } from 'zod';
 
-/** Largest policy text accepted, in bytes. */
+/** Maximum size of a policy text. */
 export const MAX_POLICY_BYTES = 256 * 1024;
-/** Most rules in a policy. */
+/** Maximum number of rules in a policy. */
 export const MAX_POLICY_RULES = 200;
-/** Priorities run from 0 (last) to this (first). */
-export const HIGHEST_PRIORITY = 9;
-/** Longest deadline a rule may give, in milliseconds. */
+/** Priorities range from 0 (served last) to this value (served first). */
+export const MAX_PRIORITY = 9;
+/** Maximum deadline that a rule may set. */
 export const MAX_DEADLINE_MS = 600_000;
 
 const decisionFields = {
   replica: z.boolean().optional(),
   maxStalenessMs: z.number().int().min(0).max(86_400_000).optional(),
   repeatable: z.boolean().optional(),
-  priority: z.number().int().min(0).max(HIGHEST_PRIORITY).optional(),
+  priority: z.number().int().min(0).max(MAX_PRIORITY).optional(),
   deadlineMs: z.number().int().min(1).max(MAX_DEADLINE_MS).optional(),
   refuse: z.string().min(1).max(200).optional(),
 };
@@ -52,11 +53,11 @@
   tests: z.array(testSchema).default([]),
 });
 
-/** A policy document that has the right form. */
+/** A validated policy document. */
 export type PolicyDocument = z.infer<typeof policySchema>;
 /** One rule of a policy. */
 export type PolicyRule = z.infer<typeof ruleSchema>;
 /** One test case of a policy. */
 export type PolicyTest = z.infer<typeof testSchema>;
-/** What a rule's condition may look at. */
+/** The variables of a rule's condition. */
 export type PolicySubject = z.infer<typeof subjectSchema>;
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -1,5 +1,5 @@
 /**
- * Compiles a policy document and decides requests with it.
+ * Compiles a policy document and evaluates requests against it.
  *
  * @packageDocumentation
  */
@@ -17,25 +17,25 @@
   type PolicyTest,
 } from './policy-document.js';
 
-/** What a policy says about a request. @public */
+/** The decision of a policy about a request. @public */
 export interface PolicyDecision {
-  /** Name of the rule that decided; empty for the default. */
+  /** Name of the rule that matched; empty for the default decision. */
   readonly rule: string;
-  /** Whether a replica may serve it. */
+  /** Whether a replica may serve the request. */
   readonly replica: boolean;
-  /** Largest staleness accepted from a replica, in milliseconds; `null` for no bound of its own. */
+  /** Maximum staleness of a replica, in milliseconds; `null` when the policy sets no bound. */
   readonly maxStalenessMs: number | null;
-  /** Whether the request may run more than once. */
+  /** Whether the request may be executed more than once. */
   readonly repeatable: boolean;
-  /** 0 (last) to 9 (first) where connections are short. */
+  /** Priority when connections are scarce: 0 (served last) to 9 (served first). */
   readonly priority: number;
-  /** Time after which an answer is of no use, in milliseconds. */
+  /** Time after which a response is of no use to the client, in milliseconds. */
   readonly deadlineMs: number;
-  /** Reason to refuse the request, or `null`. */
+  /** Reason for refusing the request; `null` when it is not refused. */
   readonly refuse: string | null;
 }
 
-/** What is not covered by a rule: the primary, not repeatable. */
+/** Decision when no rule matches: served by the primary, not repeatable. */
 export const DEFAULT_DECISION: PolicyDecision = {
   rule: '',
   replica: false,
@@ -65,19 +65,19 @@
 
 const MAX_CACHED_DECISIONS = 10_000;
 
-const TEXT_VARIABLES = ['class', 'kind', 'session', 'database', 'user', 'zone'] as const;
-const NUMBER_VARIABLES = ['hour', 'lagMs'] as const;
-const VARIABLE_NAMES = [...TEXT_VARIABLES, ...NUMBER_VARIABLES];
+const STRING_VARIABLES = ['class', 'kind', 'session', 'database', 'user', 'zone'] as const;
+const INTEGER_VARIABLES = ['hour', 'lagMs'] as const;
+const VARIABLE_NAMES = [...STRING_VARIABLES, ...INTEGER_VARIABLES];
 
-/** True when a condition may look at a variable: its name stands in the text. */
+/** True when a condition may depend on a variable, that is, when the variable's name occurs in its text. */
 function mentions(condition: string, name: string): boolean {
   return new RegExp(`\\b${name}\\b`).test(condition);
 }
 
 /** A compiled policy. @public */
 export class Policy {
-  /** Decisions by the values of the variables that the rules use. */
-  readonly #decisions = new LRUCache<string, PolicyDecision>({ max: MAX_CACHED_DECISIONS });
+  /** Cached decisions, keyed by the values of the variables that the rules use. */
+  readonly #decisionCache = new LRUCache<string, PolicyDecision>({ max: MAX_CACHED_DECISIONS });
   readonly #usedVariables: readonly (keyof PolicySubject)[];
 
   private constructor(
@@ -89,12 +89,12 @@
     );
   }
 
-  /** The policy without rules. */
+  /** A policy without rules. */
   static readonly empty = new Policy([], []);
 
-  /** Compiles a text in YAML; the problems, one a line, when it has any. */
+  /** Compiles a YAML text; returns the problems, one per line, when it is invalid. */
   static compile(text: string): Either<readonly string[], Policy> {
-    return readDocument(text).chain((document) => {
+    return parseDocument(text).chain((document) => {
       const problems: string[] = [];
       const environment = createEnvironment();
       const rules = document.rules.map((rule, position) =>
@@ -109,25 +109,27 @@
     return this.tests.length;
   }
 
-  /** Decides with the first rule that matches; a rule whose condition fails to evaluate does not match. */
+  /**
+   * Returns the decision of the first matching rule; a rule whose condition fails to evaluate does not match.
+   */
   decide(subject: PolicySubject): PolicyDecision {
     const key = this.#usedVariables.map((name) => subject[name]).join('\0');
-    const known = this.#decisions.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#decisionCache.get(key);
+    if (cached !== undefined) return cached;
     const decision = this.#decideUncached(subject);
-    this.#decisions.set(key, decision);
+    this.#decisionCache.set(key, decision);
     return decision;
   }
 
   #decideUncached(subject: PolicySubject): PolicyDecision {
     const celSubject = { ...subject, hour: BigInt(subject.hour), lagMs: BigInt(subject.lagMs) };
     for (const { matches, decision } of this.rules) {
-      if (evaluates(matches, celSubject)) return decision;
+      if (evaluatesToTrue(matches, celSubject)) return decision;
     }
     return DEFAULT_DECISION;
   }
 
-  /** Runs the policy's own test cases; returns the failures, one a line. */
+  /** Runs the policy's own test cases; returns the failures, one per line. */
   runTests(): readonly string[] {
     return this.tests.flatMap((test) => this.#runTest(test));
   }
@@ -138,16 +140,16 @@
       .filter(([field, expected]) => decision[field] !== expected)
       .map(
         ([field, expected]) =>
-          `test "${test.name}": expected ${field}=${show(expected)}, got ${show(decision[field])}`,
+          `test "${test.name}": expected ${field}=${formatValue(expected)}, got ${formatValue(decision[field])}`,
       );
   }
 }
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   return JSON.stringify(value) ?? 'nothing';
 }
 
-function evaluates(matches: CompiledRule['matches'], subject: CelSubject): boolean {
+function evaluatesToTrue(matches: CompiledRule['matches'], subject: CelSubject): boolean {
   try {
     return matches(subject) === true;
   } catch {
@@ -155,7 +157,7 @@
   }
 }
 
-function readDocument(text: string): Either<readonly string[], PolicyDocument> {
+function parseDocument(text: string): Either<readonly string[], PolicyDocument> {
   if (Buffer.byteLength(text) > MAX_POLICY_BYTES)
     return Left([`policy: larger than ${MAX_POLICY_BYTES} bytes`]);
   let raw: unknown;
@@ -178,8 +180,8 @@
       maxCallArguments: 16,
     },
   });
-  for (const name of TEXT_VARIABLES) environment.registerVariable(name, 'string');
-  for (const name of NUMBER_VARIABLES) environment.registerVariable(name, 'int');
+  for (const name of STRING_VARIABLES) environment.registerVariable(name, 'string');
+  for (const name of INTEGER_VARIABLES) environment.registerVariable(name, 'int');
   return environment;
 }
 
@@ -189,7 +191,7 @@
   position: number,
   problems: string[],
 ): CompiledRule {
-  const decision = { ...DEFAULT_DECISION, ...decisionOf(rule) };
+  const decision = { ...DEFAULT_DECISION, ...decisionFieldsOf(rule) };
   const path = `policy.rules[${position}].when`;
   try {
     const expression = environment.parse(rule.when);
@@ -205,7 +207,7 @@
   }
 }
 
-function decisionOf(rule: PolicyRule): Partial<PolicyDecision> {
+function decisionFieldsOf(rule: PolicyRule): Partial<PolicyDecision> {
   const { name, replica, maxStalenessMs, repeatable, priority, deadlineMs, refuse } = rule;
   const given = { replica, maxStalenessMs, repeatable, priority, deadlineMs, refuse };
   const entries = Object.entries(given).filter(([, value]) => value !== undefined);
--- a/src/store/json-http.ts
+++ b/src/store/json-http.ts
@@ -1,20 +1,20 @@
 /**
- * Small JSON requests over HTTP, from a given local address.
+ * JSON requests over HTTP, optionally from a given local address.
  *
  * @packageDocumentation
  */
 import { request, type IncomingMessage } from 'node:http';
 
-/** Settings of a JSON client. */
+/** Options of a JSON request. */
 export interface JsonHttpOptions {
   readonly baseUrl: string;
   readonly localAddress: string | null;
   readonly timeoutMs: number;
 }
 
-/** Thrown when no answer came, or not a good one; the request may have had its effect. */
+/** Thrown when there was no response or an unusable one; the request may have taken effect. */
 export class JsonHttpError extends Error {
-  /** @param status - HTTP status, or `null` when no answer came */
+  /** @param status - HTTP status; `null` when there was no usable response */
   constructor(
     message: string,
     readonly status: number | null,
@@ -25,17 +25,17 @@
 
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-/** Sends a request and reads the JSON answer. @throws JsonHttpError */
+/** Sends a request and parses the JSON response. @throws JsonHttpError */
 export async function requestJson(
   options: JsonHttpOptions,
   method: 'GET' | 'POST',
   path: string,
   body?: unknown,
 ): Promise<unknown> {
-  const response = await open(options, method, path, body);
+  const response = await openResponse(options, method, path, body);
   const timer = setTimeout(() => response.destroy(), options.timeoutMs);
   try {
-    const text = await readAll(response);
+    const text = await readBody(response);
     if (response.statusCode !== 200)
       throw new JsonHttpError(`HTTP status ${response.statusCode}`, response.statusCode ?? null);
     return JSON.parse(text) as unknown;
@@ -47,8 +47,8 @@
   }
 }
 
-/** Answer to a conditional request. */
-export type ConditionalAnswer =
+/** Response to a conditional request. */
+export type ConditionalResponse =
   | { readonly kind: 'unchanged'; readonly bytes: number }
   | {
       readonly kind: 'changed';
@@ -57,20 +57,20 @@
       readonly bytes: number;
     };
 
-/** Rough size of the headers of a request and its answer, in bytes. */
+/** Approximate size of the headers of a request and its response. */
 const HEADER_BYTES = 350;
 
-/** Asks for a document unless it is still the one with the given entity tag. @throws JsonHttpError */
+/** Fetches a document unless its entity tag is still the given one. @throws JsonHttpError */
 export async function requestIfChanged(
   options: JsonHttpOptions,
   path: string,
   entityTag: string | null,
-): Promise<ConditionalAnswer> {
+): Promise<ConditionalResponse> {
   const headers: Record<string, string> = entityTag === null ? {} : { 'if-none-match': entityTag };
-  const response = await open(options, 'GET', path, undefined, headers);
+  const response = await openResponse(options, 'GET', path, undefined, headers);
   const timer = setTimeout(() => response.destroy(), options.timeoutMs);
   try {
-    const text = await readAll(response);
+    const text = await readBody(response);
     const bytes = HEADER_BYTES + text.length;
     if (response.statusCode === 304) return { kind: 'unchanged', bytes };
     if (response.statusCode !== 200) throw new Error(`HTTP status ${response.statusCode}`);
@@ -87,8 +87,8 @@
   }
 }
 
-/** Sends a request and returns the open answer, for streams. @throws JsonHttpError */
-export function open(
+/** Sends a request and returns the response with its body unread, for streaming. @throws JsonHttpError */
+export function openResponse(
   options: JsonHttpOptions,
   method: 'GET' | 'POST',
   path: string,
@@ -119,7 +119,7 @@
   });
 }
 
-async function readAll(response: IncomingMessage): Promise<string> {
+async function readBody(response: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   let bytes = 0;
   for await (const chunk of response) {
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,18 +1,18 @@
 /**
- * Client of the platform's store: the JSON gateway of etcd's version 3 interface.
+ * Client of the platform's store, which offers the JSON gateway of the etcd v3 API.
  *
  * @packageDocumentation
  */
 import type { IncomingMessage } from 'node:http';
-import { open, requestJson, type JsonHttpOptions } from './json-http.js';
+import { openResponse, requestJson, type JsonHttpOptions } from './json-http.js';
 
-/** A key's value and the revision at which it was last changed. */
+/** The value of a key and the revision of its last modification. */
 export interface StoredValue {
   readonly value: string;
   readonly modRevision: number;
 }
 
-/** A change of several keys that takes effect only if one key has not changed since. */
+/** A write of several keys that takes effect only if one key has not been modified since it was read. */
 export interface CompareAndSwap {
   readonly key: string;
   /** Revision at which the key was read; 0 when it did not exist. */
@@ -26,22 +26,26 @@
   readonly mod_revision?: string;
 }
 
-/** The operations that are used of the store; each may fail after it has taken effect. */
+/** The store operations that daemons and commands use; a write may have taken effect although it failed. */
 export class StoreClient {
   constructor(private readonly options: JsonHttpOptions) {}
 
   /** Reads a key; `null` when it does not exist. @throws JsonHttpError */
   async get(key: string): Promise<StoredValue | null> {
-    const answer = (await requestJson(this.options, 'POST', '/v3/kv/range', { key: encode(key) })) as {
+    const response = (await requestJson(this.options, 'POST', '/v3/kv/range', { key: encode(key) })) as {
       kvs?: KeyValueJson[];
     };
-    const [pair] = answer.kvs ?? [];
+    const [pair] = response.kvs ?? [];
     return pair === undefined ? null : toStoredValue(pair);
   }
 
-  /** Changes keys if the compared one is as expected; false when it is not. @throws JsonHttpError */
+  /**
+   * Writes the keys if the compared key has the expected revision; returns false otherwise.
+   *
+   * @throws JsonHttpError
+   */
   async compareAndSwap(swap: CompareAndSwap): Promise<boolean> {
-    const answer = (await requestJson(this.options, 'POST', '/v3/kv/txn', {
+    const response = (await requestJson(this.options, 'POST', '/v3/kv/txn', {
       compare: [
         {
           key: encode(swap.key),
@@ -54,21 +58,23 @@
         request_put: { key: encode(key), value: encode(value) },
       })),
     })) as { succeeded?: boolean };
-    return answer.succeeded === true;
+    return response.succeeded === true;
   }
 
   /**
-   * Follows a key; resolves when the watch has ended.
+   * Watches a key; resolves when the watch has ended.
    *
    * @param onValue - called with each new value
    */
   async watch(key: string, onValue: (value: StoredValue) => void, signal: AbortSignal): Promise<void> {
-    const response = await open(this.options, 'POST', '/v3/watch', { create_request: { key: encode(key) } });
+    const response = await openResponse(this.options, 'POST', '/v3/watch', {
+      create_request: { key: encode(key) },
+    });
     const stop = (): void => void response.destroy();
     signal.addEventListener('abort', stop);
     try {
       await readLines(response, (line) => {
-        for (const value of readWatchLine(line)) onValue(value);
+        for (const value of parseWatchLine(line)) onValue(value);
       });
     } finally {
       signal.removeEventListener('abort', stop);
@@ -88,7 +94,7 @@
   };
 }
 
-function readWatchLine(line: string): readonly StoredValue[] {
+function parseWatchLine(line: string): readonly StoredValue[] {
   const message = JSON.parse(line) as { result?: { events?: { kv?: KeyValueJson }[] } };
   const events = message.result?.events ?? [];
   return events.flatMap(({ kv }) => (kv?.value === undefined ? [] : [toStoredValue(kv)]));
