--- a/src/coordination/entry-faults.ts
+++ b/src/coordination/entry-faults.ts
@@ -50,7 +50,7 @@
       revision: revision && formatRevision(revision),
       fault: fault.kind,
     };
-    this.#faultLog.tell(logEventOf(kind), key, fault.reason, details);
+    this.#faultLog.report(logEventOf(kind), key, fault.reason, details);
   }
 
   /** Clears the fault of a key that can be read again or was deleted. */
