--- a/src/coordination/watched-store.ts
+++ b/src/coordination/watched-store.ts
@@ -5,7 +5,7 @@
  * @packageDocumentation
  */
 import { delay } from '../common/signal.js';
-import { FaultLog, nameFault } from '../observability/fault-log.js';
+import { FaultLog, errorName } from '../observability/fault-log.js';
 import type { ChangeFeed, FeedResponse } from './change-feed.js';
 import { ChangeLog } from './change-log.js';
 import type { StoredItem, StoreEvent } from './coordination-store.js';
@@ -250,7 +250,7 @@
     if (isSameRevision(known.revision, revision) && known.value.equals(value)) return;
     this.options.itemNotNewer?.();
     const details = { key: key.slice(0, MAX_LOGGED_KEY_LENGTH), held: formatRevision(known.revision) };
-    this.#faults.tell('item_not_newer', key, `revision ${formatRevision(revision)}`, details);
+    this.#faults.report('item_not_newer', key, `revision ${formatRevision(revision)}`, details);
   }
 
   #remove(key: string, revision: Revision): void {
@@ -279,7 +279,7 @@
     try {
       invoke();
     } catch (error) {
-      this.#faults.tell('listener_failed', `${prefix} ${callback}`, nameFault(error), {
+      this.#faults.report('listener_failed', `${prefix} ${callback}`, errorName(error), {
         prefix,
         call: callback,
       });
--- a/src/daemon/request-targets.ts
+++ b/src/daemon/request-targets.ts
@@ -1,21 +1,21 @@
 /**
- * Where a router may send a request: this daemon's own engine, or another daemon.
+ * Targets to which the router can send a request: this daemon's own engine, or another daemon.
  *
  * @packageDocumentation
  */
 import type { DatabaseEngine } from '../engine/database-engine.js';
-import type { AnswerSink, StatementRequest } from '../engine/statement-request.js';
+import type { ResponseSink, StatementRequest } from '../engine/statement-request.js';
 import type { RequestTarget } from '../entry/request-router.js';
 import type { PeerLink } from '../peer/peer-link.js';
 
-/** This daemon. */
+/** Executes requests on this daemon's engine. */
 export class LocalTarget implements RequestTarget {
   constructor(
     readonly daemonId: string,
     private readonly findEngine: (database: string) => DatabaseEngine | null,
   ) {}
 
-  forward(request: StatementRequest, sink: AnswerSink & { lost(): void }, isAwaited: () => boolean): void {
+  forward(request: StatementRequest, sink: ResponseSink & { lost(): void }, isAwaited: () => boolean): void {
     const engine = this.findEngine(request.database);
     if (engine === null) sink.notOwner();
     else void engine.execute(request, sink, isAwaited);
@@ -30,22 +30,22 @@
   }
 }
 
-/** Another daemon. */
+/** Forwards requests to another daemon. */
 export class RemoteTarget implements RequestTarget {
   constructor(
     readonly daemonId: string,
     private readonly link: PeerLink,
   ) {}
 
-  forward(request: StatementRequest, sink: AnswerSink & { lost(): void }): void {
+  forward(request: StatementRequest, sink: ResponseSink & { lost(): void }): void {
     this.link.forward(request, sink);
   }
 
   closeStream(database: string, streamId: string): void {
-    this.link.tellOfRequest({ kind: 'closeStream', database, streamId });
+    this.link.sendAboutRequest({ kind: 'closeStream', database, streamId });
   }
 
   cancel(database: string, streamId: string): void {
-    this.link.tellOfRequest({ kind: 'cancel', database, streamId });
+    this.link.sendAboutRequest({ kind: 'cancel', database, streamId });
   }
 }
--- a/src/entry/lost-transaction.ts
+++ b/src/entry/lost-transaction.ts
@@ -1,18 +1,18 @@
 /**
- * Answers the requests of a client whose transaction was lost with its connection, until it rolls back.
+ * Responds to the COMMIT or ROLLBACK that ends a transaction lost with the connection it ran on.
  *
  * @packageDocumentation
  */
 import { commandComplete, emptyMessage, parameterDescription } from '../wire/backend-messages.js';
-import { readObjectReference } from '../wire/frontend-messages.js';
+import { readDescribeOrClose } from '../wire/frontend-messages.js';
 import { BackendType, FrontendType } from '../wire/message-types.js';
 
-/** Replies to a request that ends the lost transaction, as if a server had rolled it back. */
-export function answerRollback(frames: readonly Buffer[]): Buffer {
-  return Buffer.concat(frames.map(answerOne));
+/** Builds the response to a COMMIT or ROLLBACK, as a server gives it when it rolls the transaction back. */
+export function rollbackResponse(frames: readonly Buffer[]): Buffer {
+  return Buffer.concat(frames.map(responseTo));
 }
 
-function answerOne(frame: Buffer): Buffer {
+function responseTo(frame: Buffer): Buffer {
   switch (frame[0]) {
     case FrontendType.query:
     case FrontendType.execute:
@@ -25,7 +25,7 @@
       return emptyMessage(BackendType.closeComplete);
     case FrontendType.describe: {
       const noData = emptyMessage(BackendType.noData);
-      if (readObjectReference(frame).kind === 'portal') return noData;
+      if (readDescribeOrClose(frame).kind === 'portal') return noData;
       return Buffer.concat([parameterDescription([]), noData]);
     }
     default:
--- a/src/leadership/evidence-sharing.ts
+++ b/src/leadership/evidence-sharing.ts
@@ -90,7 +90,7 @@
   ownEvidence(): readonly SharedEvidence[] {
     const now = this.options.now();
     const entries: SharedEvidence[] = [];
-    for (const { evidence, name, heldByLeader: held } of this.options.groups()) {
+    for (const { evidence, name, leaderPosition: held } of this.options.groups()) {
       const leader = evidence.current(now);
       if (leader === null) continue;
       const ageMs = Math.ceil(now - (evidence.validUntilMs - EVIDENCE_VALIDITY_MS));
@@ -158,10 +158,10 @@
     const group = this.options.groups().find(({ name }) => name === groupName);
     if (group === undefined) return;
     const hadEvidence = group.evidence.current(this.options.now()) !== null;
-    group.learnLeader({ memberId, term }, null);
+    group.recordLeader({ memberId, term }, null);
     const { leader } = group.evidence;
     if (leader?.memberId !== memberId) return;
-    if (held !== null && leader.term === term) group.noteReceived(held);
+    if (held !== null && leader.term === term) group.recordReplicaPosition(held);
     const isEvidence = group.evidence.recordWitness(term, 0, askedAtMs - ageMs);
     if (isEvidence && !hadEvidence) this.options.evidenceGained(group);
   }
--- a/src/leadership/group-supervisor.ts
+++ b/src/leadership/group-supervisor.ts
@@ -178,7 +178,7 @@
     if (leader === null) return;
     const askedAtMs = this.options.now();
     const position = await this.#queryLogPosition(leader);
-    if (position !== null) this.group.recordLed(askedAtMs, position);
+    if (position !== null) this.group.recordLeaderPosition(askedAtMs, position);
   }
 
   /** Stops after the current check. */
@@ -192,7 +192,7 @@
     if (this.#isStopped) return;
     if (leader === null) return;
     const knownLeader = this.group.evidence.leader;
-    if (knownLeader !== null) this.group.learnLeader(knownLeader, null);
+    if (knownLeader !== null) this.group.recordLeader(knownLeader, null);
     // A member that is taken for the leader only because none is known to lead may hold commits that the
     // others lack, so it is not left out of the candidates.
     const isAssumed = this.group.evidence.leader === null && !leader.entry.saysPrimary;
@@ -214,7 +214,7 @@
    * reach its replicas.
    */
   async #checkResponsiveLeader(leader: Member): Promise<void> {
-    this.#leaderLoss.answered(leader.entry);
+    this.#leaderLoss.recordAnswer(leader.entry);
     if (this.#isFirstCheck) {
       this.#isFirstCheck = false;
       if (await this.#hasUnfinishedPromotion(leader))
@@ -246,7 +246,7 @@
   async #recordEndedMembers(leader: Member): Promise<void> {
     const departed = this.#departedMembers(leader);
     this.#endedMembers.retain(departed);
-    const unknown = departed.filter((member) => !this.#endedMembers.has(member));
+    const unknown = departed.filter((member) => !this.#endedMembers.hasLimit(member));
     if ((unknown.length === 0 && !this.#lostIncarnations.needsLeaderPosition) || this.#isRecordingEnded)
       return;
     this.#isRecordingEnded = true;
@@ -343,7 +343,7 @@
       const answer = statuses[index];
       if (member.hasEnded || answer?.kind !== 'answered' || !answer.status.isPrimary) return;
       hasLeader = true;
-      this.group.learnLeader(
+      this.group.recordLeader(
         { memberId: member.entry.memberId, term: answer.status.term },
         answer.status.received,
       );
@@ -365,7 +365,7 @@
     members.forEach((member, index) => {
       const answer = statuses[index];
       if (member.hasEnded || answer?.kind !== 'answered' || !answer.status.isPrimary) return;
-      this.group.learnLeader(
+      this.group.recordLeader(
         { memberId: member.entry.memberId, term: answer.status.term },
         answer.status.received,
       );
@@ -391,7 +391,7 @@
       if (answer.kind === 'busy' || leader.answeredAtMs > askedAtMs) return null;
       kind = answer.kind;
     }
-    if (kind === 'refused') this.#leaderLoss.refused(leader.entry, askedAtMs);
+    if (kind === 'refused') this.#leaderLoss.recordRefusal(leader.entry, askedAtMs);
     else if (this.#isUncorroborated(leader, kind)) return null;
     return `leader is ${kind}`;
   }
@@ -493,7 +493,7 @@
 
   /** The incarnation that led last, and has ended: what it acknowledged was received by another member. */
   #isEndedLeader(member: Member): boolean {
-    return member.hasEnded && member === this.group.ledBy(this.group.evidence.minimumTerm);
+    return member.hasEnded && member === this.group.leaderOfTerm(this.group.evidence.minimumTerm);
   }
 
   /**
@@ -512,7 +512,7 @@
   }
 
   #findMember(memberId: string): Member | null {
-    return this.group.members.get(memberId) ?? this.group.formerOf(memberId);
+    return this.group.members.get(memberId) ?? this.group.findFormer(memberId);
   }
 
   #otherMembers(leader: Member | null): readonly Member[] {
--- a/src/leadership/leadership-watcher.ts
+++ b/src/leadership/leadership-watcher.ts
@@ -155,7 +155,7 @@
     if (member.hasEnded || answer?.kind !== 'answered' || !answer.status.isPrimary) return;
     const { memberId } = member.entry;
     const { term, received } = answer.status;
-    if (this.group.learnLeader({ memberId, term }, received)) this.group.changed.notify();
+    if (this.group.recordLeader({ memberId, term }, received)) this.group.changed.notify();
   }
 
   /**
@@ -195,8 +195,8 @@
     if (!isEvidence) return false;
     // The leader holds whatever a replica has received in the term.
     if (evidence.leader !== null) {
-      this.group.learnLeader(evidence.leader, null);
-      this.group.noteReceived(status.received);
+      this.group.recordLeader(evidence.leader, null);
+      this.group.recordReplicaPosition(status.received);
     }
     const duty = this.heldDuty();
     if (duty !== null && askedAtMs > duty.takenAtMs + DUTY_SETTLE_MS) this.confirm();
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -129,10 +129,10 @@
   test('a position that goes back within a term is no floor, because another incarnation reported it', () => {
     const group = new MemberGroup('g');
     group.evidence.observeLeader({ memberId: 'a', term: 1 });
-    group.recordLed(1000, { term: 1, index: 30 });
-    group.recordLed(1100, ZERO_POSITION);
+    group.recordLeaderPosition(1000, { term: 1, index: 30 });
+    group.recordLeaderPosition(1100, ZERO_POSITION);
     assert.deepEqual(group.positions.floorSince(900)?.position, { term: 1, index: 30 });
-    assert.deepEqual(group.heldByLeader, { term: 1, index: 30 });
+    assert.deepEqual(group.leaderPosition, { term: 1, index: 30 });
   });
 
   test('a floor is never below a commit acknowledged before the time it stands for', () => {
@@ -260,8 +260,8 @@
     group.evidence.observeLeader({ memberId: 'a', term: at(3).term });
     group.evidence.recordWitness(at(3).term, 0, 0);
     assert.equal(group.acknowledge(at(3), 0), 'proven');
-    group.recordLed(10, at(4));
-    group.recordLed(20, at(9));
+    group.recordLeaderPosition(10, at(4));
+    group.recordLeaderPosition(20, at(9));
     assert.deepEqual(group.acknowledged, { latest: at(3), limit: at(4) });
     assert.equal(group.acknowledge(at(9), 30), 'proven');
     assert.deepEqual(group.acknowledged, whole(at(9)));
--- a/src/leadership/promotion-after-restarts.test.ts
+++ b/src/leadership/promotion-after-restarts.test.ts
@@ -49,7 +49,7 @@
    */
   test('are missing no more once all members answer, the one that led among them', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'old', 'nothing');
@@ -65,7 +65,7 @@
    */
   test('are covered by the leader that stepped down before this holder took the duty', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
     startNextLife(fixture, 'one', 'log');
@@ -131,7 +131,7 @@
    */
   test('are covered when they ended, and were listed no more, while the leader led', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'spare']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     startNextLife(fixture, 'spare', 'log');
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
@@ -185,7 +185,7 @@
   /** The incarnation with the only copy was checked, ended, and its next incarnation was not queried yet. */
   test('are missing while their next life has not been looked at', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     fixture.member('two').isDeaf = true;
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
@@ -207,7 +207,7 @@
 
   test('are missing while the next incarnation of one of them does not answer: it may have the log', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     fixture.member('two').isDeaf = true;
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
@@ -243,7 +243,7 @@
       },
     };
     fixture.daemons.set('d2', { kind: 'answered', answer });
-    fixture.group.recordLed(askedAtMs, COMMIT);
+    fixture.group.recordLeaderPosition(askedAtMs, COMMIT);
     fixture.member('old').state = 'ended';
     fixture.member('two').state = 'dark';
     return fixture;
@@ -304,7 +304,7 @@
     context.mock.timers.enable({ apis: ['setTimeout', 'setInterval'] });
     context.mock.method(performance, 'now', () => clock.nowMs);
     const fixture = new ModelledGroup(['old', 'one', 'flapping']);
-    fixture.group.learnLeader({ memberId: 'old', term: FIRST_TERM }, null);
+    fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.daemons.set('d2', DAEMON_GONE);
     fixture.member('old').state = 'ended';
@@ -315,7 +315,7 @@
       passed += RESTART_INTERVAL_MS
     ) {
       const ended = startNextLife(fixture, 'flapping', 'log');
-      setTimeout(() => fixture.group.dropFormer(ended), FORMER_MEMBER_TTL_MS);
+      setTimeout(() => fixture.group.removeFormer(ended), FORMER_MEMBER_TTL_MS);
       fixture.supervisor.suspect();
       await advance(context, RESTART_INTERVAL_MS, clock);
     }
--- a/src/relay/read-runner.ts
+++ b/src/relay/read-runner.ts
@@ -10,7 +10,7 @@
 import { laterFloor, type ReadFloor } from '../leadership/position-history.js';
 import type { Route } from '../topology/catalog.js';
 import type { Member, MemberGroup } from '../topology/member-group.js';
-import { alternatives, selectReadMember, type ReadCandidate } from '../topology/select-member.js';
+import { alternativeCandidates, selectReadMember, type ReadCandidate } from '../topology/select-member.js';
 import { dueAt, type LinkDemand } from './link-queue.js';
 import { verifyLeaderIncarnation, recordLeaderPosition, isNonEmptyLog } from './leader-identity.js';
 import { LinkAcquisition, type GrantedLink, type LinkSource } from './link-acquisition.js';
@@ -145,8 +145,8 @@
 ): void {
   member.recordPosition(position, nowMs);
   if (floor === null) return;
-  if (result.isComplete) member.recordFloor(floor, true, nowMs);
-  else if (result.code === 'behind') member.recordFloor(floor, false, nowMs);
+  if (result.isComplete) member.recordFloorResult(floor, true, nowMs);
+  else if (result.code === 'behind') member.recordFloorResult(floor, false, nowMs);
 }
 
 export class ReadRunner {
@@ -294,7 +294,7 @@
     const choice = selectReadMember(candidates, demand);
     const member = choice === null ? undefined : group.members.get(choice.memberId);
     if (choice === null || member === undefined) return;
-    const others = alternatives(choice, candidates, demand).flatMap(
+    const others = alternativeCandidates(choice, candidates, demand).flatMap(
       ({ memberId }) => group.members.get(memberId) ?? [],
     );
     if (waiting !== null) {
@@ -316,7 +316,7 @@
       this.#endedAttempts.push(attempt);
       this.#attemptEnded.notify();
     });
-    if (member.pool.isDirect) pending.wait.enqueueAll(directQueuesOf([member, ...others]));
+    if (member.pool.usesOwnPool) pending.wait.enqueueAll(directQueuesOf([member, ...others]));
     else pending.wait.completeWith(member, () => member.pool.borrow(demand, waitMs));
   }
 
@@ -370,7 +370,7 @@
       job.deadlineMs - context.now() + LATE_REPLY_TIMEOUT_MS,
     );
     let isSent = false;
-    const after = asLeader ? job.group.heldByLeader : (floor?.position ?? null);
+    const after = asLeader ? job.group.leaderPosition : (floor?.position ?? null);
     try {
       const reply = await sendStatement(link, job.statement, job.requestId, job.values, after, () => {
         if (this.#isSettled) return ANSWERED_ELSEWHERE;
@@ -409,7 +409,7 @@
     const asLeader = leader !== null;
     const answerMs = this.context.now() - sentAtMs;
     const members = [member];
-    member.trust(this.context.now());
+    member.recordAnswer(this.context.now());
     recordReplicaProgress(member, floor, reply, this.context.now());
     if (asLeader && hasLostLog(reply)) this.context.suspect(group, member, 'lost_log');
     if (asLeader && reply.result.isComplete)
@@ -438,5 +438,7 @@
 function directQueuesOf(
   members: readonly Member[],
 ): { readonly place: LinkSource; readonly member: Member }[] {
-  return members.filter(({ pool }) => pool.isDirect).map((member) => ({ place: member.pool.own, member }));
+  return members
+    .filter(({ pool }) => pool.usesOwnPool)
+    .map((member) => ({ place: member.pool.ownPool, member }));
 }
--- a/src/relay/relay-daemon.ts
+++ b/src/relay/relay-daemon.ts
@@ -8,7 +8,7 @@
 import { DaemonDirectory } from '../cluster/daemon-directory.js';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { Delegations } from '../cluster/delegates.js';
-import { dutyTurnMs } from '../cluster/duty-turn.js';
+import { dutyClaimDelayMs } from '../cluster/duty-claim-delay.js';
 import { deliverOrder, type OrderOutcomes, type Recipients } from '../cluster/order-delivery.js';
 import { LostRecords } from '../cluster/lost-records.js';
 import { Registration } from '../cluster/registration.js';
@@ -43,7 +43,7 @@
 import { QuotaService } from '../quota/quota-service.js';
 import { ConfigurationLease } from '../tenancy/configuration-lease.js';
 import type { KeyDigest } from '../tenancy/key-digest.js';
-import { LeaseRenewal, type PassedConfiguration } from '../tenancy/lease-renewal.js';
+import { LeaseRenewal, type ConfigurationLeaseReply } from '../tenancy/lease-renewal.js';
 import { Catalog, type CatalogDocument } from '../topology/catalog.js';
 import { compareIncarnations, type Incarnation } from '../topology/incarnation.js';
 import { MemberDirectory } from '../topology/member-directory.js';
@@ -181,7 +181,7 @@
       store,
       ownName: self.name,
       known: () => this.#daemons.known(now()),
-      stands: (name) => this.watched.items.has(DAEMON_PREFIX + name),
+      isStored: (name) => this.watched.items.has(DAEMON_PREFIX + name),
       keyOf: (name) => DAEMON_PREFIX + name,
       random,
       log: options.log,
@@ -213,8 +213,8 @@
         this.#groups.get(group.name)?.watcher.wake();
       },
       leaderInDoubt: (group) => this.#supervision.suspect(group.name),
-      ended: (member) => this.#gatewayServer.endLoans(member.pool.own),
-      forgotten: (memberId) => this.#control.forget(memberId),
+      incarnationEnded: (member) => this.#gatewayServer.endLoans(member.pool.ownPool),
+      closeControlConnections: (memberId) => this.#control.forget(memberId),
       log: options.log,
       now,
     });
@@ -225,14 +225,14 @@
       now,
     });
     this.#mesh = new PeerMesh(self, {
-      order: (order) => this.#applyOrder(order),
-      suspicion: (suspicion) => this.#handleSuspicion(suspicion),
+      handleOrder: (order) => this.#applyOrder(order),
+      handleSuspicion: (suspicion) => this.#handleSuspicion(suspicion),
       ownEvidence: (knownVersion) => this.#evidenceAnswers.answer(knownVersion),
       daemonEnded: (name) => {
         options.log('daemon_ended', { name });
         this.#supervision.daemonEnded();
       },
-      holderLeft: (host) => this.#checkHolderExit(host),
+      holderDisconnected: (host) => this.#checkHolderExit(host),
     });
     this.#gatewayClient = new GatewayClient(self.host, now, random);
     const feed = new DelegatedFeed({
@@ -242,7 +242,7 @@
       delegates: () => this.#delegations.of('store'),
       mustWatchStore: () => this.isDutyHolder,
       localItem: (key) => this.watched.items.get(key) ?? null,
-      askDelegate: this.#gatewayClient.askChanges.bind(this.#gatewayClient),
+      askDelegate: this.#gatewayClient.requestChanges.bind(this.#gatewayClient),
       log: options.log,
       now,
       random,
@@ -276,8 +276,8 @@
       delegates: () => this.#delegations.of('store'),
       daemons: () => this.#daemons.live,
       registered: () => this.#daemons.expected(now()),
-      ask: this.#gatewayClient.askConfiguration.bind(this.#gatewayClient),
-      offer: (item) => this.watched.offer(item),
+      requestConfiguration: this.#gatewayClient.requestConfiguration.bind(this.#gatewayClient),
+      offerConfiguration: (item) => this.watched.offer(item),
       log: options.log,
       now,
       random,
@@ -285,9 +285,9 @@
     this.#quotas = new QuotaService({
       ownName: self.name,
       daemons: () => this.#daemons.live,
-      tenant: (name) => this.catalog.tenants.find(name),
-      ask: this.#gatewayClient.askGrant.bind(this.#gatewayClient),
-      isEnded: (record) => this.#mesh.isGone(record),
+      findTenant: (name) => this.catalog.tenants.findByName(name),
+      requestGrant: this.#gatewayClient.requestGrant.bind(this.#gatewayClient),
+      hasProcessEnded: (record) => this.#mesh.isGone(record),
       now,
       random,
     });
@@ -306,7 +306,7 @@
       collectors: () => this.#delegations.of('witnesses'),
       holdsDuty: () => this.#duty.heldFence(0) !== null,
       askHolder: (timeoutMs) => this.#mesh.askEvidence(timeoutMs),
-      askDaemon: (record, timeoutMs) => this.#gatewayClient.askEvidence(record, timeoutMs),
+      askDaemon: (record, timeoutMs) => this.#gatewayClient.requestEvidence(record, timeoutMs),
       evidenceGained: (group) => {
         group.changed.notify();
         this.#groups.get(group.name)?.watcher.wake();
@@ -316,7 +316,7 @@
     });
     const listener = {
       registered: () => {
-        this.#registration.registered(now());
+        this.#registration.markRegistered(now());
         for (const { watcher } of this.#groups.values()) watcher.wake();
       },
       taken: (fence: number) => this.#onDutyTaken(fence),
@@ -330,7 +330,7 @@
       (holder) => this.#hasHolderEnded(holder),
       now,
       random,
-      () => dutyTurnMs(self.name, this.#daemons.live),
+      () => dutyClaimDelayMs(self.name, this.#daemons.live),
       options.faults,
     );
     this.#context = {
@@ -368,7 +368,7 @@
     const now = this.options.now();
     return this.groups.map((group) => ({
       name: group.name,
-      memberConnections: [...group.members.values()].reduce((sum, { pool }) => sum + pool.own.size, 0),
+      memberConnections: [...group.members.values()].reduce((sum, { pool }) => sum + pool.ownPool.size, 0),
       hasEvidence: group.leader(now) !== null,
       term: group.evidence.leader?.term ?? 0,
     }));
@@ -465,7 +465,7 @@
   }
 
   /** Answers a daemon that holds `heldVersion` and asks for the newest configuration that is known here. */
-  #configurationReply(heldVersion: number): PassedConfiguration {
+  #configurationReply(heldVersion: number): ConfigurationLeaseReply {
     const now = this.options.now();
     const lease = this.#configurationLease;
     const item = this.watched.items.get(this.options.configurationKey);
@@ -474,7 +474,7 @@
       isSameRevision(item.revision, lease.heldRevision) &&
       lease.heldVersion > heldVersion &&
       now - this.#catalogReceivedAtMs > CHANGE_PROPAGATION_MS;
-    return { version: lease.heldVersion, proof: lease.handOn(now), item: mustSendItem ? item : null };
+    return { version: lease.heldVersion, proof: lease.shareableProof(now), item: mustSendItem ? item : null };
   }
 
   #updateReadiness(): void {
@@ -524,7 +524,7 @@
     );
     const watched: WatchedGroup = { group, watcher };
     this.#groups.set(name, watched);
-    this.directory.fill(group);
+    this.directory.addListedMembers(group);
     this.#runLoop(watcher.run());
     if (this.isDutyHolder) this.#supervision.begin(group);
   }
@@ -532,7 +532,7 @@
   #closeGroup(watched: WatchedGroup): void {
     watched.watcher.stop();
     this.#supervision.end(watched.group.name);
-    for (const member of watched.group.members.values()) member.pool.own.close();
+    for (const member of watched.group.members.values()) member.pool.ownPool.close();
   }
 
   #createMember(entry: MemberEntry): Member {
@@ -554,10 +554,10 @@
       memberId: entry.memberId,
       bornMs: () => member.entry.bornMs,
       pool,
-      gateways: this.#gatewayClient,
+      gatewayClient: this.#gatewayClient,
       assignment: () => this.#assignments.of(member.entry),
-      others: () => this.#daemons.live.filter(({ name }) => name !== options.self.name),
-      tenantShare: (tenantName) => this.catalog.tenants.shareOf(tenantName),
+      fallbackLenders: () => this.#daemons.live.filter(({ name }) => name !== options.self.name),
+      tenantShare: (tenantName) => this.catalog.tenants.rateShareOf(tenantName),
       ownName: options.self.name,
     });
     const member: Member = new Member(entry, connections);
@@ -571,7 +571,7 @@
   #lendablePool(groupName: string, life: Incarnation): LinkPool | null {
     const member = this.#groups.get(groupName)?.group.members.get(life.memberId);
     if (member === undefined || compareIncarnations(member.entry, life) !== 'same') return null;
-    return this.#assignments.connects(member.entry) ? member.pool.own : null;
+    return this.#assignments.isAssigned(member.entry) ? member.pool.ownPool : null;
   }
 
   /**
@@ -596,15 +596,15 @@
       this.#failureDetector.check(group);
       this.directory.check(group);
       for (const member of group.members.values()) {
-        member.pool.own.trim();
-        if (this.#assignments.isGateway(member.entry)) this.#maintainIdleConnections(member.pool.own);
+        member.pool.ownPool.trim();
+        if (this.#assignments.isGateway(member.entry)) this.#maintainIdleConnections(member.pool.ownPool);
       }
     }
-    this.#control.trim();
+    this.#control.closeIdleConnections();
     this.#gatewayClient.check();
     this.#updateReadiness();
-    const hasStartedUp = this.#wasStartingUp && !this.#assignments.isYoung;
-    this.#wasStartingUp = this.#assignments.isYoung;
+    const hasStartedUp = this.#wasStartingUp && !this.#assignments.isStartingUp;
+    this.#wasStartingUp = this.#assignments.isStartingUp;
     if (this.#daemons.refresh(this.options.now()) || hasStartedUp) this.#onDaemonsChanged();
     this.#reconnectPeers();
   }
@@ -641,7 +641,7 @@
   /** Reports a suspected leader to the duty holder, which may be this daemon. */
   #reportSuspicion(suspicion: Suspicion): void {
     if (this.isDutyHolder) this.#handleSuspicion(suspicion);
-    else this.#mesh.suspect(suspicion);
+    else this.#mesh.reportSuspicion(suspicion);
   }
 
   /** Applies an order of the duty holder and answers what this daemon has acknowledged so far. */
@@ -660,16 +660,16 @@
         break;
       case 'seal':
         group.evidence.seal(order.term, this.options.now());
-        if (order.call !== undefined) group.calls.note(order.call, this.options.now());
+        if (order.call !== undefined) group.calls.record(order.call, this.options.now());
         break;
       case 'allow':
         group.evidence.liftRevocation();
         group.calls.clear();
         break;
       case 'leader':
-        group.learnLeader({ memberId: order.memberId, term: order.term }, order.held);
+        group.recordLeader({ memberId: order.memberId, term: order.term }, order.held);
         if (order.call === undefined) group.calls.clear();
-        else group.calls.note(order.call, this.options.now());
+        else group.calls.record(order.call, this.options.now());
         break;
     }
     group.changed.notify();
@@ -715,7 +715,7 @@
     const others = this.#daemons.live.filter((record) => record !== holder);
     const checkers = preferredDaemons(holder.name, others, HOLDER_EXIT_CHECKERS);
     if (checkers.some(({ name }) => name === this.options.self.name))
-      this.#runLoop(this.#mesh.lookForEnd(holder));
+      this.#runLoop(this.#mesh.probeForEnd(holder));
   }
 
   /** Handles the suspicion of any daemon, this one included, against a leader. */
@@ -737,7 +737,7 @@
    * delegates that watch the store for the others do so.
    */
   #restoreLostRecords(): void {
-    if (!this.#lostRecords.isDue(this.watched.revision.era)) return;
+    if (!this.#lostRecords.observeEra(this.watched.revision.era)) return;
     const delegates = this.#delegations.of('store');
     const isDelegate = delegates === null || delegates.some(({ name }) => name === this.options.self.name);
     if (isDelegate) this.#runLoop(this.#lostRecords.restore());
@@ -747,7 +747,10 @@
   #startDuty(registered: ReadonlyMap<string, DaemonRecord>, unreadable: ReadonlySet<string>): void {
     this.#isDutyStarted = true;
     const isBehind = this.#duty.isRegistryIncomplete;
-    this.#registration.firstLook(registered, this.options.now(), { unreadable, isBehind });
+    this.#registration.applyInitialRecords(registered, this.options.now(), {
+      unreadable,
+      isIncomplete: isBehind,
+    });
     this.#runLoop(this.#duty.run());
   }
 
@@ -795,7 +798,7 @@
   #order(order: HolderOrder, timeoutMs: number, recipients?: Recipients): Promise<OrderOutcomes> {
     const known = this.#daemons.known(this.options.now());
     if (recipients !== undefined && 'only' in recipients)
-      return this.#mesh.order(
+      return this.#mesh.sendOrder(
         known.filter(({ name }) => recipients.only.has(name)),
         order,
         timeoutMs,
@@ -803,9 +806,9 @@
     const isRecipient = ({ name }: DaemonRecord): boolean => recipients?.except.has(name) !== true;
     const ports = {
       known: () => known.filter(isRecipient),
-      readRegister: async () => (await listLeasedDaemons(this.options.store)).filter(isRecipient),
-      isRegisterBehind: () => this.#duty.isRegistryIncomplete,
-      send: this.#mesh.order.bind(this.#mesh),
+      readRegistry: async () => (await listLeasedDaemons(this.options.store)).filter(isRecipient),
+      isRegistryIncomplete: () => this.#duty.isRegistryIncomplete,
+      send: this.#mesh.sendOrder.bind(this.#mesh),
     };
     return deliverOrder(ports, order, timeoutMs);
   }
--- a/src/relay/transaction.test.ts
+++ b/src/relay/transaction.test.ts
@@ -66,13 +66,13 @@
     memberId: 'm',
     bornMs: () => null,
     pool,
-    gateways: new GatewayClient(
+    gatewayClient: new GatewayClient(
       '127.0.0.1',
       () => 0,
       () => 0,
     ),
     tenantShare: () => 1,
-    others: () => [],
+    fallbackLenders: () => [],
     assignment: () => ({ gateways: null, standbys: [], budget: 1 }),
     ownName: 'd',
   });
--- a/src/relay/transaction.ts
+++ b/src/relay/transaction.ts
@@ -277,7 +277,7 @@
       leader: isLeader,
       floor: floor === null ? null : formatPosition(floor.position),
     });
-    const after = isLeader ? group.heldByLeader : (floor?.position ?? null);
+    const after = isLeader ? group.leaderPosition : (floor?.position ?? null);
     const { leader } = group.evidence;
     const reply = await link.send({ kind: 'begin', isReadOnly, after });
     recordReplicaProgress(member, floor, reply, context.now());
@@ -338,7 +338,7 @@
       });
     if (typeof sent === 'string') throw new Refusal('aborted', 'not_run', sent, RETRY_AFTER_MS);
     const { reply, sentAtMs } = sent;
-    member.trust(this.context.now());
+    member.recordAnswer(this.context.now());
     context.observer.memberAnswered(step.kind, isLeader, context.now() - sentAtMs);
     const { leader } = group.evidence;
     if (isLeader && reply.result.isComplete && leader !== null && group.leader(sentAtMs) === member)
--- a/src/relay/verdicts.test.ts
+++ b/src/relay/verdicts.test.ts
@@ -136,7 +136,7 @@
   const now = (): number => performance.now();
   const group = testGroup({ leader: script, first: script, second: script }, now);
   if (hasEvidence) group.evidence.recordWitness(1, 0, now());
-  group.recordLed(now() - 100, { term: 1, index: 5 });
+  group.recordLeaderPosition(now() - 100, { term: 1, index: 5 });
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
--- a/src/relay/write-runner.ts
+++ b/src/relay/write-runner.ts
@@ -235,7 +235,7 @@
     expectedLeader: Leader | null,
   ): MemberReply | null {
     const { context, job } = this;
-    leader.trust(context.now());
+    leader.recordAnswer(context.now());
     leader.recordOutcome(!reply.result.isComplete && reply.result.code === 'failed', context.now());
     if (reply.result.isComplete) {
       context.observer.memberAnswered('write', true, context.now() - sentAtMs);
--- a/test/model/promotion-model.test.ts
+++ b/test/model/promotion-model.test.ts
@@ -205,7 +205,7 @@
       settles ? this.#registration.countsFromMs : Number.NEGATIVE_INFINITY,
     );
     this.#evidence.observeLeader({ memberId: 'old', term: OLD_TERM });
-    this.#registration.firstLook(scene.isNew ? NOBODY : REGISTERED, this.#now);
+    this.#registration.applyInitialRecords(scene.isNew ? NOBODY : REGISTERED, this.#now);
     this.#replicas = MEMBERS.slice(0, 2).map((member) => new Replica(member, BASE));
     if (!scene.isNew) this.#register();
     const second = this.#replicas[1];
@@ -253,7 +253,7 @@
 
   #register(): void {
     this.#isRegistered = true;
-    this.#registration.registered(this.#now);
+    this.#registration.markRegistered(this.#now);
   }
 
   #ask(): void {
--- a/test/support/relay-members.ts
+++ b/test/support/relay-members.ts
@@ -41,10 +41,10 @@
     memberId,
     bornMs: () => null,
     pool,
-    gateways: new GatewayClient('h', now, Math.random),
+    gatewayClient: new GatewayClient('h', now, Math.random),
     assignment: () => ({ gateways: null, standbys: [], budget: 1 }),
     tenantShare: () => 1,
-    others: () => [],
+    fallbackLenders: () => [],
     ownName: 'd',
   });
   return new Member(entry, connections);
