--- a/src/leadership/member-control.test.ts
+++ b/src/leadership/member-control.test.ts
@@ -35,9 +35,9 @@
   const member = {
     entry: { memberId: 'm' },
     address: { memberId: 'm', groupName: 'g', host: 'h', port: 1 },
-    trust: () => undefined,
+    recordAnswer: () => undefined,
     pool: {
-      own: { takeIdle: () => null, isUnopened: false },
+      ownPool: { takeIdle: () => null, canOpenFirst: false },
       hasGateways: true,
       isAssigned: false,
       borrow: () => {
--- a/src/relay/write-runner.test.ts
+++ b/src/relay/write-runner.test.ts
@@ -89,7 +89,7 @@
   const leader = {
     entry: { memberId: 'm' },
     isAvoided: () => false,
-    trust: () => undefined,
+    recordAnswer: () => undefined,
     recordOutcome: () => undefined,
     pool: {
       acquire: () => Promise.resolve(new PooledLink(handedOut.shift() ?? new FakeLink(), 'one')),
