--- a/src/coordination/watched-store.ts
+++ b/src/coordination/watched-store.ts
@@ -178,7 +178,7 @@
 
   #recordReload(before: Revision, revision: Revision, itemCount: number): void {
     this.options.log('store_read', { revision: formatRevision(revision), items: itemCount });
-    if (revision.era > before.era) this.#recordFailure('restored from a backup');
+    if (revision.era > before.era) this.#recordFailure('came back from a copy');
   }
 
   /** Performs one watch; false if the whole store has to be read again. */
--- a/src/relay/write-runner.ts
+++ b/src/relay/write-runner.ts
@@ -173,7 +173,7 @@
     let isAnswered = false;
     try {
       const sent = await sendStatement(link, job.statement, job.requestId, job.values, null, () => {
-        if (this.#isAbandoned) return 'the request was abandoned';
+        if (this.#isAbandoned) return 'given up';
         if (job.group.leader(context.now()) !== leader) return 'no evidence of the leader';
         this.#wasSent = true;
         sentAtMs = context.now();
