--- a/standin/member/group-transport.ts
+++ b/standin/member/group-transport.ts
@@ -1,5 +1,5 @@
 /**
- * Carries the messages between the members of one stand-in group over TCP.
+ * TCP transport for the messages between the members of one stand-in group.
  *
  * @packageDocumentation
  */
@@ -14,7 +14,6 @@
   readonly port: number;
 }
 
-/** Settings of the transport. */
 export interface GroupTransportOptions {
   readonly listenHost: string;
   readonly groupPort: number;
@@ -24,10 +23,10 @@
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 const RECONNECT_DELAY_MS = 50;
 
-/** Sends and receives group messages; what cannot be sent at once is dropped. */
+/** Sends and receives group messages; a message to a peer without an open connection is dropped. */
 export class GroupTransport {
   readonly #server: Server;
-  readonly #outgoing = new Map<string, MessageChannel<GroupMessage>>();
+  readonly #outgoingChannels = new Map<string, MessageChannel<GroupMessage>>();
   readonly #sockets = new Set<Socket>();
   readonly #connecting = new Set<string>();
   #stopped = false;
@@ -36,25 +35,24 @@
     private readonly options: GroupTransportOptions,
     private readonly receive: (message: GroupMessage) => void,
   ) {
-    this.#server = createServer((socket) => this.#channel(socket));
+    this.#server = createServer((socket) => this.#openChannel(socket));
   }
 
-  /** Starts to listen. */
   async start(): Promise<void> {
     const { groupPort, listenHost } = this.options;
     await new Promise<void>((resolve) => this.#server.listen(groupPort, listenHost, () => resolve()));
   }
 
-  /** Stops at once. */
+  /** Stops immediately and destroys all connections. */
   stop(): void {
     this.#stopped = true;
     this.#server.close();
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  /** Sends a message if there is a connection, and opens one if there is none. */
+  /** Sends a message over the open connection; without one, drops the message and starts to connect. */
   send(peerId: string, message: GroupMessage): void {
-    const channel = this.#outgoing.get(peerId);
+    const channel = this.#outgoingChannels.get(peerId);
     if (channel === undefined) this.#connect(peerId);
     else channel.send(message);
   }
@@ -64,18 +62,18 @@
     if (peer === undefined || this.#stopped || this.#connecting.has(peerId)) return;
     this.#connecting.add(peerId);
     const socket = connect({ host: peer.host, port: peer.port, localAddress: this.options.listenHost });
-    const channel = this.#channel(socket);
+    const channel = this.#openChannel(socket);
     socket.once('connect', () => {
       this.#connecting.delete(peerId);
-      this.#outgoing.set(peerId, channel);
+      this.#outgoingChannels.set(peerId, channel);
     });
     socket.once('close', () => {
-      this.#outgoing.delete(peerId);
+      this.#outgoingChannels.delete(peerId);
       setTimeout(() => this.#connecting.delete(peerId), RECONNECT_DELAY_MS).unref();
     });
   }
 
-  #channel(socket: Socket): MessageChannel<GroupMessage> {
+  #openChannel(socket: Socket): MessageChannel<GroupMessage> {
     this.#sockets.add(socket);
     socket.once('close', () => this.#sockets.delete(socket));
     return new MessageChannel<GroupMessage>(socket, MAX_MESSAGE_BYTES, {
--- a/standin/member/member-server.ts
+++ b/standin/member/member-server.ts
@@ -18,7 +18,7 @@
 import { MemberSession } from './session.js';
 import { Tables } from './tables.js';
 
-/** Where and how a member runs. */
+/** Addresses, peers and replication settings of a member. */
 export interface MemberServerOptions extends MemberSettings {
   readonly listenHost: string;
   readonly listenPort: number;
@@ -40,7 +40,7 @@
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   #timer: NodeJS.Timeout | null = null;
-  #connections = 0;
+  #connectionCount = 0;
 
   constructor(private readonly options: MemberServerOptions) {
     const tables = new Tables();
@@ -50,7 +50,7 @@
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Starts to listen and to take part in the group. */
+  /** Starts to listen for clients and peers, and runs the replicated log. */
   async start(): Promise<void> {
     await this.#transport.start();
     await new Promise<void>((resolve) =>
@@ -59,13 +59,13 @@
     this.#timer = setInterval(() => this.database.log.tick(), TICK_INTERVAL_MS);
   }
 
-  /** Marks the member as leaving: it says so, and gives up the lead. */
+  /** Marks the member as leaving, which its group status reports, and steps down if it is the primary. */
   leave(): void {
     this.database.leavingSinceMs ??= Date.now();
-    this.database.log.stepDownForGood();
+    this.database.log.stepDownPermanently();
   }
 
-  /** Stops at once. */
+  /** Stops immediately and destroys all connections. */
   async stop(): Promise<void> {
     if (this.#timer !== null) clearInterval(this.#timer);
     for (const socket of this.#sockets) socket.destroy();
@@ -112,7 +112,7 @@
       }
       socket.off('data', onData);
       if (code === CANCEL_REQUEST_CODE) this.#cancel(socket, body);
-      else if (code === PROTOCOL_VERSION_3) void this.#open(socket, body);
+      else if (code === PROTOCOL_VERSION_3) void this.#openSession(socket, body);
       else socket.destroy();
     };
     socket.on('data', onData);
@@ -124,19 +124,19 @@
     socket.end();
   }
 
-  async #open(socket: Socket, body: Buffer): Promise<void> {
+  async #openSession(socket: Socket, body: Buffer): Promise<void> {
     const { counters, settings } = this.database;
-    if (this.#connections >= settings.connectionLimit) {
+    if (this.#connectionCount >= settings.connectionLimit) {
       counters.refusedConnections += 1;
       socket.end(
         errorResponse({ severity: 'FATAL', sqlState: '53300', message: 'sorry, too many clients already' }),
       );
       return;
     }
-    this.#connections += 1;
+    this.#connectionCount += 1;
     counters.openedConnections += 1;
-    counters.highestConnections = Math.max(counters.highestConnections, this.#connections);
-    socket.once('close', () => (this.#connections -= 1));
+    counters.highestConnections = Math.max(counters.highestConnections, this.#connectionCount);
+    socket.once('close', () => (this.#connectionCount -= 1));
     const startup = readStartup(body);
     if (settings.openDelayMs > 0) await new Promise((resolve) => setTimeout(resolve, settings.openDelayMs));
     if (socket.destroyed) return;
--- a/standin/member/replica-log.ts
+++ b/standin/member/replica-log.ts
@@ -1,7 +1,7 @@
 /**
- * The replicated log of one member stand-in: terms, election and replication after the Raft paper
- * (Ongaro and Ousterhout, 2014), without persistence. A primary that is cut off goes on believing it leads
- * and, in `asynchronous` mode, goes on acknowledging.
+ * The replicated log of one member stand-in: terms, elections and replication as in the Raft paper
+ * (Ongaro and Ousterhout, 2014), without persistence. A partitioned primary does not step down and, in
+ * `asynchronous` mode, keeps acknowledging commits.
  *
  * @packageDocumentation
  */
@@ -12,7 +12,7 @@
   readonly term: number;
   readonly index: number;
   readonly changes: readonly Change[];
-  /** Session that wrote it, for checkers. */
+  /** Process id of the session that wrote it; read by history checkers. */
   readonly session: number;
 }
 
@@ -55,17 +55,17 @@
   readonly electionTimeoutMs: number;
   /** Delay before a replica applies what it has received. */
   readonly applyLagMs: number;
-  /** Index of this member in its group: spreads the election timeouts. */
+  /** Index of this member in its group; staggers the election timeouts. */
   readonly electionRank: number;
   readonly initialPrimary: boolean;
   readonly now: () => number;
 }
 
-/** What the log needs from its surroundings. */
-export interface ReplicaLogPorts {
+/** Callbacks through which the log sends messages, applies entries and reports role changes. */
+export interface ReplicaLogCallbacks {
   send(peerId: string, message: GroupMessage): void;
   apply(entry: LogEntry): void;
-  /** Forget everything applied: the log was cut below what was applied. */
+  /** Discards the applied state, because the log was truncated below the applied index. */
   reset(): void;
   roleChanged(role: MemberRole): void;
 }
@@ -83,25 +83,25 @@
   term = 0;
   applyLagMs: number;
   readonly #entries: LogEntry[] = [];
-  readonly #matched = new Map<string, number>();
+  readonly #matchIndex = new Map<string, number>();
   readonly #nextIndex = new Map<string, number>();
   #votedFor: string | null = null;
   #votes = new Set<string>();
-  #campaigning = false;
-  #applied = 0;
+  #isCandidate = false;
+  #appliedIndex = 0;
   #pendingApply: PendingApply[] = [];
-  #lastHeardMs: number;
-  #lastSentMs = 0;
-  #canLead = true;
+  #lastLeaderContactMs: number;
+  #lastReplicationMs = 0;
+  #canBecomePrimary = true;
   #majorityWaiters: { readonly index: number; readonly resolve: (done: boolean) => void }[] = [];
 
   constructor(
     private readonly options: ReplicaLogOptions,
-    private readonly ports: ReplicaLogPorts,
+    private readonly callbacks: ReplicaLogCallbacks,
   ) {
     this.applyLagMs = options.applyLagMs;
-    this.#lastHeardMs = options.now();
-    if (options.initialPrimary) this.#lastHeardMs -= this.#electionDelay();
+    this.#lastLeaderContactMs = options.now();
+    if (options.initialPrimary) this.#lastLeaderContactMs -= this.#electionDelay();
   }
 
   /** Last entry received, as term and index. */
@@ -111,7 +111,7 @@
 
   /** Last entry applied, as term and index. */
   get applied(): { readonly term: number; readonly index: number } {
-    return this.#positionAt(this.#applied);
+    return this.#positionAt(this.#appliedIndex);
   }
 
   /** All entries, oldest first. */
@@ -119,17 +119,17 @@
     return this.#entries;
   }
 
-  /** Stops this member from leading and hands the lead to the most advanced peer. */
-  stepDownForGood(): void {
-    this.#canLead = false;
+  /** Steps down for good and asks the most up-to-date peer to start an election. */
+  stepDownPermanently(): void {
+    this.#canBecomePrimary = false;
     if (this.role !== 'primary') return;
-    const [successor] = [...this.#matched.entries()].sort((a, b) => b[1] - a[1])[0] ?? [];
+    const [successor] = [...this.#matchIndex.entries()].sort((a, b) => b[1] - a[1])[0] ?? [];
     this.#becomeReplica();
     if (successor !== undefined)
-      this.ports.send(successor, { kind: 'takeOver', term: this.term, from: this.options.memberId });
+      this.callbacks.send(successor, { kind: 'takeOver', term: this.term, from: this.options.memberId });
   }
 
-  /** Appends a transaction on the primary and applies it at once. */
+  /** Appends a transaction on the primary, applies it immediately and replicates it. */
   append(changes: readonly Change[], session: number): LogEntry {
     const entry = { term: this.term, index: this.#entries.length + 1, changes, session };
     this.#entries.push(entry);
@@ -138,7 +138,7 @@
     return entry;
   }
 
-  /** Resolves to true once a majority has received `index`, to false when this member stops leading. */
+  /** Resolves to true once a majority has received `index`, to false when this member steps down. */
   waitForMajority(index: number): Promise<boolean> {
     if (this.#majorityIndex() >= index) return Promise.resolve(true);
     return new Promise((resolve) => this.#majorityWaiters.push({ index, resolve }));
@@ -148,9 +148,9 @@
   tick(): void {
     const now = this.options.now();
     if (this.role === 'primary') {
-      if (now - this.#lastSentMs >= this.options.heartbeatIntervalMs) this.#replicate();
-    } else if (this.#canLead && now - this.#lastHeardMs >= this.#electionDelay()) {
-      this.#campaign(false);
+      if (now - this.#lastReplicationMs >= this.options.heartbeatIntervalMs) this.#replicate();
+    } else if (this.#canBecomePrimary && now - this.#lastLeaderContactMs >= this.#electionDelay()) {
+      this.#startElection(false);
     }
     this.#applyDue(now);
   }
@@ -173,7 +173,7 @@
         this.#handleVoteReply(message);
         break;
       case 'takeOver':
-        if (this.#canLead && message.term === this.term) this.#campaign(true);
+        if (this.#canBecomePrimary && message.term === this.term) this.#startElection(true);
         break;
     }
   }
@@ -190,26 +190,26 @@
   #adoptTerm(term: number): void {
     this.term = term;
     this.#votedFor = null;
-    this.#campaigning = false;
+    this.#isCandidate = false;
     if (this.role === 'primary') this.#becomeReplica();
   }
 
   #becomeReplica(): void {
     this.role = 'replica';
-    this.#lastHeardMs = this.options.now();
+    this.#lastLeaderContactMs = this.options.now();
     for (const waiter of this.#majorityWaiters.splice(0)) waiter.resolve(false);
-    this.ports.roleChanged('replica');
+    this.callbacks.roleChanged('replica');
   }
 
-  #campaign(forced: boolean): void {
+  #startElection(forced: boolean): void {
     this.term += 1;
     this.#votedFor = this.options.memberId;
     this.#votes = new Set([this.options.memberId]);
-    this.#campaigning = true;
-    this.#lastHeardMs = this.options.now();
+    this.#isCandidate = true;
+    this.#lastLeaderContactMs = this.options.now();
     const { index: lastIndex, term: lastTerm } = this.received;
     for (const peerId of this.options.peerIds) {
-      this.ports.send(peerId, {
+      this.callbacks.send(peerId, {
         kind: 'voteRequest',
         term: this.term,
         from: this.options.memberId,
@@ -222,10 +222,10 @@
   }
 
   #handleVoteRequest(message: Extract<GroupMessage, { kind: 'voteRequest' }>): void {
-    const heardRecently = this.options.now() - this.#lastHeardMs < this.options.electionTimeoutMs;
-    const believesInPrimary =
-      this.role === 'primary' || (heardRecently && !this.#campaigning && this.term > 0);
-    if (believesInPrimary && !message.forced) return;
+    const hasRecentContact = this.options.now() - this.#lastLeaderContactMs < this.options.electionTimeoutMs;
+    const hasLivePrimary =
+      this.role === 'primary' || (hasRecentContact && !this.#isCandidate && this.term > 0);
+    if (hasLivePrimary && !message.forced) return;
     if (message.term > this.term) this.#adoptTerm(message.term);
     const own = this.received;
     const upToDate =
@@ -234,9 +234,9 @@
       message.term === this.term && upToDate && (this.#votedFor === null || this.#votedFor === message.from);
     if (granted) {
       this.#votedFor = message.from;
-      this.#lastHeardMs = this.options.now();
+      this.#lastLeaderContactMs = this.options.now();
     }
-    this.ports.send(message.from, {
+    this.callbacks.send(message.from, {
       kind: 'voteReply',
       term: this.term,
       from: this.options.memberId,
@@ -245,24 +245,24 @@
   }
 
   #handleVoteReply(message: Extract<GroupMessage, { kind: 'voteReply' }>): void {
-    if (!this.#campaigning || message.term !== this.term || !message.granted) return;
+    if (!this.#isCandidate || message.term !== this.term || !message.granted) return;
     this.#votes.add(message.from);
     this.#countVotes();
   }
 
   #countVotes(): void {
     if (this.#votes.size <= (this.options.peerIds.length + 1) / 2) return;
-    this.#campaigning = false;
+    this.#isCandidate = false;
     this.role = 'primary';
-    this.#matched.clear();
+    this.#matchIndex.clear();
     for (const peerId of this.options.peerIds) this.#nextIndex.set(peerId, this.#entries.length + 1);
     this.#applyAllPending();
-    this.ports.roleChanged('primary');
+    this.callbacks.roleChanged('primary');
     this.append([], 0);
   }
 
   #replicate(): void {
-    this.#lastSentMs = this.options.now();
+    this.#lastReplicationMs = this.options.now();
     for (const peerId of this.options.peerIds) this.#sendAppend(peerId);
   }
 
@@ -271,7 +271,7 @@
     const previous = this.#positionAt(next - 1);
     const entries = this.#entries.slice(next - 1, next - 1 + MAX_ENTRIES_PER_MESSAGE);
     this.#nextIndex.set(peerId, next + entries.length);
-    this.ports.send(peerId, {
+    this.callbacks.send(peerId, {
       kind: 'append',
       term: this.term,
       from: this.options.memberId,
@@ -283,7 +283,7 @@
 
   #handleAppend(message: Extract<GroupMessage, { kind: 'append' }>): void {
     const reply = (success: boolean, received: number): void =>
-      this.ports.send(message.from, {
+      this.callbacks.send(message.from, {
         kind: 'appendReply',
         term: this.term,
         from: this.options.memberId,
@@ -294,8 +294,8 @@
       reply(false, 0);
       return;
     }
-    this.#lastHeardMs = this.options.now();
-    this.#campaigning = false;
+    this.#lastLeaderContactMs = this.options.now();
+    this.#isCandidate = false;
     if (
       this.#positionAt(message.previousIndex).term !== message.previousTerm ||
       message.previousIndex > this.#entries.length
@@ -303,11 +303,11 @@
       reply(false, Math.min(this.#entries.length, message.previousIndex - 1));
       return;
     }
-    for (const entry of message.entries) this.#store(entry);
+    for (const entry of message.entries) this.#storeEntry(entry);
     reply(true, message.previousIndex + message.entries.length);
   }
 
-  #store(entry: LogEntry): void {
+  #storeEntry(entry: LogEntry): void {
     const existing = this.#entries[entry.index - 1];
     if (existing !== undefined && existing.term === entry.term) return;
     if (existing !== undefined) this.#truncate(entry.index - 1);
@@ -319,9 +319,9 @@
   #truncate(length: number): void {
     this.#entries.length = length;
     this.#pendingApply = this.#pendingApply.filter(({ entry }) => entry.index <= length);
-    if (this.#applied <= length) return;
-    this.ports.reset();
-    this.#applied = 0;
+    if (this.#appliedIndex <= length) return;
+    this.callbacks.reset();
+    this.#appliedIndex = 0;
     for (const entry of this.#entries) this.#applyNow(entry);
   }
 
@@ -332,22 +332,23 @@
       this.#sendAppend(message.from);
       return;
     }
-    const matched = Math.max(this.#matched.get(message.from) ?? 0, message.received);
-    this.#matched.set(message.from, matched);
-    if ((this.#nextIndex.get(message.from) ?? 0) <= matched) this.#nextIndex.set(message.from, matched + 1);
-    this.#wakeMajorityWaiters();
+    const matchIndex = Math.max(this.#matchIndex.get(message.from) ?? 0, message.received);
+    this.#matchIndex.set(message.from, matchIndex);
+    if ((this.#nextIndex.get(message.from) ?? 0) <= matchIndex)
+      this.#nextIndex.set(message.from, matchIndex + 1);
+    this.#resolveMajorityWaiters();
   }
 
   #majorityIndex(): number {
     const indexes = [
       this.#entries.length,
-      ...this.options.peerIds.map((peerId) => this.#matched.get(peerId) ?? 0),
+      ...this.options.peerIds.map((peerId) => this.#matchIndex.get(peerId) ?? 0),
     ];
     indexes.sort((a, b) => b - a);
     return indexes[Math.floor(indexes.length / 2)] ?? 0;
   }
 
-  #wakeMajorityWaiters(): void {
+  #resolveMajorityWaiters(): void {
     const reached = this.#majorityIndex();
     this.#majorityWaiters = this.#majorityWaiters.filter((waiter) => {
       if (waiter.index > reached) return true;
@@ -368,7 +369,7 @@
   }
 
   #applyNow(entry: LogEntry): void {
-    this.#applied = entry.index;
-    this.ports.apply(entry);
+    this.#appliedIndex = entry.index;
+    this.callbacks.apply(entry);
   }
 }
