--- a/standin/member/database.ts
+++ b/standin/member/database.ts
@@ -1,5 +1,6 @@
 /**
- * What the sessions of one member stand-in share: tables, locks, the replicated log, slots and limits.
+ * State shared by the sessions of one member stand-in: tables, locks, replicated log, execution slots and
+ * limits.
  *
  * @packageDocumentation
  */
@@ -12,19 +13,19 @@
   readonly memberId: string;
   readonly zone: string;
   readonly database: string;
-  /** Connections accepted at once, control connections included. */
+  /** Maximum of concurrent connections, including control connections. */
   readonly connectionLimit: number;
-  /** Statements executed at once. */
+  /** Maximum of statements executed concurrently. */
   readonly slots: number;
-  /** Time to open a connection. */
+  /** Delay before the startup response of a new connection. */
   readonly openDelayMs: number;
-  /** Time a statement occupies its slot. */
+  /** Time added to the execution of each statement while it holds its slot. */
   readonly serviceTimeMs: number;
-  /** Whether a commit waits for a majority to have received it. */
+  /** `majority` acknowledges a commit only after a majority of the group has received it. */
   readonly replication: 'asynchronous' | 'majority';
 }
 
-/** An open session as others see it, for `pg_stat_activity`. */
+/** Interface of an open session to other sessions: listed in `pg_stat_activity`, terminated or canceled. */
 export interface SessionHandle {
   readonly processId: number;
   readonly secretKey: number;
@@ -33,12 +34,12 @@
   cancel(): void;
 }
 
-/** Counters that a checker reads. */
+/** Counters read by history checkers. */
 export interface MemberCounters {
   highestConnections: number;
   refusedConnections: number;
   openedConnections: number;
-  /** Statements of callers; what daemons ask for themselves does not count. */
+  /** Statements of clients; control statements, such as a daemon's status queries, are not counted. */
   statements: number;
 }
 
@@ -63,12 +64,12 @@
     readonly log: ReplicaLog,
   ) {}
 
-  /** A process id for a new session. */
+  /** Allocates a process id for a new session. */
   nextProcessId(): number {
     return this.#nextProcessId++;
   }
 
-  /** Runs work while holding a slot. */
+  /** Waits for an execution slot, in order of arrival, and runs the work while holding it. */
   async withSlot<T>(work: () => Promise<T>): Promise<T> {
     if (this.#busySlots >= this.settings.slots)
       await new Promise<void>((resolve) => this.#slotWaiters.push(resolve));
--- a/standin/member/expression.ts
+++ b/standin/member/expression.ts
@@ -12,29 +12,29 @@
   type SqlScalar,
   type SqlValue,
 } from './sql-values.js';
-import { lastName, openNode, type SyntaxBody, type SyntaxNode } from './syntax.js';
+import { lastName, unwrapNode, type SyntaxBody, type SyntaxNode } from './syntax.js';
 
 /** A row: column name to value. */
 export type Row = Readonly<Record<string, SqlScalar>>;
 
-/** A function that needs the session or the clock; `null` when the name is unknown. */
+/** Calls a function that depends on the session; returns `null` when the name is unknown. */
 export type SessionFunction = (name: string, args: readonly SqlScalar[]) => SqlValue | null;
 
-/** What an expression may refer to. */
+/** Parameters, row and functions available to an expression. */
 export interface EvaluationContext {
   readonly parameters: readonly SqlValue[];
   readonly row: Row | null;
   readonly columnTypes: Readonly<Record<string, number>>;
-  /** The row offered by an INSERT, for `excluded` in ON CONFLICT. */
+  /** The row proposed by an INSERT, read as `excluded` in ON CONFLICT. */
   readonly excluded: Row | null;
   readonly callFunction: SessionFunction;
 }
 
 const NULL_VALUE: SqlValue = { value: null, typeOid: TypeOid.text };
 
-/** Evaluates one expression. */
+/** Evaluates one expression. @throws SqlError 0A000 for a node kind that is not supported */
 export function evaluate(node: SyntaxNode, context: EvaluationContext): SqlValue {
-  const { kind, body } = openNode(node);
+  const { kind, body } = unwrapNode(node);
   switch (kind) {
     case 'A_Const':
       return evaluateConstant(body);
@@ -166,7 +166,7 @@
   }
 }
 
-/** Orders two values; a number and its text form are equal. */
+/** Compares two values; nulls sort last, and a number equals its text form. */
 export function compareScalars(left: SqlScalar, right: SqlScalar): number {
   if (left === null || right === null) return left === right ? 0 : left === null ? 1 : -1;
   if (typeof left === 'number' || typeof right === 'number') return Number(left) - Number(right);
--- a/standin/member/locks.ts
+++ b/standin/member/locks.ts
@@ -9,13 +9,13 @@
   readonly waiters: (() => void)[];
 }
 
-/** Locks of one member; a session is named by its process id. */
+/** Locks of one member; a session is identified by its process id. */
 export class LockTable {
   readonly #rows = new Map<string, RowLock>();
   readonly #advisory = new Map<string, number>();
 
-  /** Takes a row lock, waiting at most `timeoutMs`; resolves to false when it could not be had. */
-  async takeRow(name: string, session: number, timeoutMs: number): Promise<boolean> {
+  /** Acquires a row lock; resolves to false when it is not available within `timeoutMs`. */
+  async acquireRow(name: string, session: number, timeoutMs: number): Promise<boolean> {
     const deadline = Date.now() + timeoutMs;
     for (;;) {
       const lock = this.#rows.get(name);
@@ -35,12 +35,12 @@
       const lock = this.#rows.get(name);
       if (lock?.holder !== session) continue;
       this.#rows.delete(name);
-      for (const wake of lock.waiters) wake();
+      for (const resolveWait of lock.waiters) resolveWait();
     }
   }
 
-  /** Takes a session-level advisory lock; false when another session holds it. */
-  tryAdvisory(key: string, session: number): boolean {
+  /** Tries to acquire a session-level advisory lock; false when another session holds it. */
+  tryAcquireAdvisory(key: string, session: number): boolean {
     const holder = this.#advisory.get(key);
     if (holder !== undefined && holder !== session) return false;
     this.#advisory.set(key, session);
--- a/standin/member/projection.ts
+++ b/standin/member/projection.ts
@@ -13,25 +13,25 @@
   isStar,
   isVoidCall,
   nullRow,
-  output,
+  formatNullable,
   type StatementResult,
 } from './result-shape.js';
 import { SqlError, type SqlScalar, type SqlValue } from './sql-values.js';
 import { lastName, type SyntaxNode } from './syntax.js';
 
-/** The context in which an expression is evaluated; `mayAct`: functions may have effects. */
-export type ContextOf = (
+/** Creates an evaluation context; without `allowSideEffects`, functions change no state. */
+export type ContextFactory = (
   parameters: readonly SqlValue[],
   row: Row | null,
   columnTypes: Readonly<Record<string, number>>,
-  mayAct: boolean,
+  allowSideEffects: boolean,
 ) => EvaluationContext;
 
-/** Turns rows into results. */
+/** Filters, sorts and projects rows into statement results. */
 export class Projection {
-  constructor(private readonly contextOf: ContextOf) {}
+  constructor(private readonly createContext: ContextFactory) {}
 
-  /** True when a row meets the condition. */
+  /** True when a row satisfies the WHERE condition. */
   matches(
     where: SyntaxNode | undefined,
     row: Row,
@@ -39,10 +39,10 @@
     parameters: readonly SqlValue[],
   ): boolean {
     if (where === undefined) return true;
-    return evaluate(where, this.contextOf(parameters, row, columnTypes, true)).value === true;
+    return evaluate(where, this.createContext(parameters, row, columnTypes, true)).value === true;
   }
 
-  /** The rows in the order that is asked for. */
+  /** Sorts rows by an ORDER BY clause. */
   sort(
     rows: readonly Row[],
     sortClause: readonly SyntaxNode[],
@@ -51,7 +51,7 @@
   ): Row[] {
     const keys = sortClause.map((item) => item['SortBy']);
     const valueOf = (row: Row, node: SyntaxNode): SqlScalar =>
-      evaluate(node, this.contextOf(parameters, row, columnTypes, true)).value;
+      evaluate(node, this.createContext(parameters, row, columnTypes, true)).value;
     return [...rows].sort((left, right) => {
       for (const key of keys) {
         const order = compareScalars(valueOf(left, key.node), valueOf(right, key.node));
@@ -61,7 +61,7 @@
     });
   }
 
-  /** What the targets are for the rows, as a result. */
+  /** Evaluates the target list for each row, or once over all rows if it contains an aggregate. */
   project(
     targets: readonly SyntaxNode[],
     rows: readonly Row[],
@@ -70,12 +70,12 @@
     tagPrefix = 'SELECT',
   ): StatementResult {
     const aggregate = targets.some((target) => isAggregate(target));
-    const typeContext = this.contextOf(parameters, nullRow(columnTypes), columnTypes, false);
+    const typeContext = this.createContext(parameters, nullRow(columnTypes), columnTypes, false);
     const columns = this.columns(targets, typeContext);
-    const output = aggregate
+    const resultRows = aggregate
       ? [this.#aggregate(targets, rows, columnTypes, parameters)]
       : rows.map((row) => this.#projectRow(targets, row, columnTypes, parameters));
-    return { columns, rows: output, tag: `${tagPrefix} ${output.length}` };
+    return { columns, rows: resultRows, tag: `${tagPrefix} ${resultRows.length}` };
   }
 
   #projectRow(
@@ -84,12 +84,12 @@
     columnTypes: Readonly<Record<string, number>>,
     parameters: readonly SqlValue[],
   ): (string | null)[] {
-    const context = this.contextOf(parameters, row, columnTypes, true);
+    const context = this.createContext(parameters, row, columnTypes, true);
     return targets.flatMap((target) => {
       const node: SyntaxNode = target['ResTarget'].val;
-      if (isStar(node)) return Object.keys(columnTypes).map((name) => output(row[name] ?? null));
+      if (isStar(node)) return Object.keys(columnTypes).map((name) => formatNullable(row[name] ?? null));
       if (isVoidCall(node)) return [''];
-      return [output(evaluate(node, context).value)];
+      return [formatNullable(evaluate(node, context).value)];
     });
   }
 
@@ -104,13 +104,13 @@
       if (call === undefined) throw new SqlError('42803', 'only aggregates may stand beside an aggregate');
       if (call.agg_star) return String(rows.length);
       const values = rows
-        .map((row) => evaluate(call.args[0], this.contextOf(parameters, row, columnTypes, true)).value)
+        .map((row) => evaluate(call.args[0], this.createContext(parameters, row, columnTypes, true)).value)
         .filter((value) => value !== null);
       return aggregateValues(lastName(call.funcname), values);
     });
   }
 
-  /** Names and types of the targets. */
+  /** Names and types of the result columns of a target list. */
   columns(targets: readonly SyntaxNode[], context: EvaluationContext): ColumnDescription[] {
     return targets.flatMap((target) => {
       const node: SyntaxNode = target['ResTarget'].val;
--- a/standin/member/result-shape.ts
+++ b/standin/member/result-shape.ts
@@ -1,32 +1,32 @@
 /**
- * Shapes of results and rows in the member stand-in: names, types, aggregates, definitions.
+ * Names and types of result columns, aggregates and row construction for the member stand-in.
  *
  * @packageDocumentation
  */
 import type { ColumnDescription } from '../../src/wire/backend-messages.js';
 import { compareScalars, evaluate, type EvaluationContext, type Row } from './expression.js';
 import { castValue, formatValue, SqlError, typeOidByName, TypeOid, type SqlScalar } from './sql-values.js';
-import { lastName, openNode, type SyntaxBody, type SyntaxNode } from './syntax.js';
+import { lastName, unwrapNode, type SyntaxBody, type SyntaxNode } from './syntax.js';
 import type { TableDefinition } from './tables.js';
 
-/** Result of one statement. */
+/** Rows and command tag of one statement; `columns` is `null` for a statement that returns no rows. */
 export interface StatementResult {
   readonly columns: readonly ColumnDescription[] | null;
   readonly rows: readonly (string | null)[][];
   readonly tag: string;
 }
 
-/** Result of a command without rows. */
-export function command(tag: string): StatementResult {
+/** Result of a statement that returns no rows. */
+export function commandResult(tag: string): StatementResult {
   return { columns: null, rows: [], tag };
 }
 
 /** Text form of a value, for a DataRow. */
-export function output(value: SqlScalar): string | null {
+export function formatNullable(value: SqlScalar): string | null {
   return value === null ? null : formatValue(value);
 }
 
-/** A row of nulls, to find out types. */
+/** A row of nulls, used to determine column types without data. */
 export function nullRow(columnTypes: Readonly<Record<string, number>>): Row {
   return Object.fromEntries(Object.keys(columnTypes).map((name) => [name, null]));
 }
@@ -37,39 +37,39 @@
   return fields !== undefined && fields.some((field) => 'A_Star' in field);
 }
 
-/** True for a call whose value is of no interest. */
+/** True for a call of a function that returns void. */
 export function isVoidCall(node: SyntaxNode): boolean {
   return lastName(node['FuncCall']?.funcname) === 'pg_sleep';
 }
 
 const AGGREGATES = new Set(['count', 'sum', 'min', 'max']);
 
-/** True for a target that is an aggregate. */
+/** True when a target is a call of an aggregate function. */
 export function isAggregate(target: SyntaxNode): boolean {
   return AGGREGATES.has(lastName(target['ResTarget']?.val?.FuncCall?.funcname));
 }
 
-/** Value of an aggregate. */
+/** Computes an aggregate over non-null values, formatted for a DataRow. */
 export function aggregateValues(name: string, values: readonly SqlScalar[]): string | null {
   if (name === 'count') return String(values.length);
   if (values.length === 0) return null;
   if (name === 'sum') return String(values.reduce((total: number, value) => total + Number(value), 0));
   const sorted = [...values].sort(compareScalars);
-  return output((name === 'min' ? sorted[0] : sorted.at(-1)) ?? null);
+  return formatNullable((name === 'min' ? sorted[0] : sorted.at(-1)) ?? null);
 }
 
 /** Name of a result column. */
 export function columnName(target: SyntaxNode): string {
   const { name, val } = target['ResTarget'];
   if (name !== undefined) return name;
-  const { kind, body } = openNode(val);
+  const { kind, body } = unwrapNode(val);
   if (kind === 'ColumnRef') return lastName(body.fields);
   if (kind === 'FuncCall') return lastName(body.funcname);
   if (kind === 'TypeCast') return lastName(body.typeName.names);
   return '?column?';
 }
 
-/** Type of a result column. */
+/** Type of a result column; evaluates the expression where the syntax alone does not give it. */
 export function columnType(node: SyntaxNode, context: EvaluationContext): number {
   const call = node['FuncCall'];
   if (call !== undefined && AGGREGATES.has(lastName(call.funcname))) return TypeOid.bigint;
@@ -122,7 +122,7 @@
   return rows;
 }
 
-/** Definition of a table from CREATE TABLE. */
+/** Reads a CREATE TABLE statement; without a PRIMARY KEY constraint, the first column is the key. */
 export function readTableDefinition(name: string, elements: readonly SyntaxNode[]): TableDefinition {
   const columnTypes: Record<string, number> = {};
   let primaryKey: string | null = null;
@@ -137,7 +137,7 @@
   return { name, primaryKey, columnTypes };
 }
 
-/** A row to insert. */
+/** Builds the row of an INSERT, casting the values to the column types. */
 export function buildRow(
   definition: TableDefinition,
   columns: readonly string[],
--- a/standin/member/session.ts
+++ b/standin/member/session.ts
@@ -13,33 +13,33 @@
 import { SqlError, TypeOid, type SqlValue } from './sql-values.js';
 import type { StatementResult } from './result-shape.js';
 import { StatementExecutor } from './statement-executor.js';
-import { parseStatements, typeOfParameters, type ParsedStatement } from './syntax.js';
+import { parseStatements, parameterTypesOf, type ParsedStatement } from './syntax.js';
 
 const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
-interface Prepared {
+interface PreparedStatement {
   readonly statement: ParsedStatement | null;
   readonly parameterTypes: readonly number[];
 }
 
 interface Portal {
-  readonly prepared: Prepared;
+  readonly prepared: PreparedStatement;
   readonly values: readonly SqlValue[];
 }
 
-/** A session of the member, from its authenticated start to its end. */
+/** A client session, from the authentication response to the close of its connection. */
 export class MemberSession implements SessionHandle {
   readonly processId: number;
   readonly secretKey = randomInt(1, 2 ** 31 - 1);
   applicationName: string;
   readonly #executor: StatementExecutor;
   readonly #splitter = new FrameSplitter(MAX_FRAME_BYTES);
-  readonly #prepared = new Map<string, Prepared>();
+  readonly #preparedStatements = new Map<string, PreparedStatement>();
   readonly #portals = new Map<string, Portal>();
   readonly #queue: Buffer[] = [];
   #output: Buffer[] = [];
   #running = false;
-  #skipToSync = false;
+  #skipsToSync = false;
   #closed = false;
   #idleTimer: NodeJS.Timeout | null = null;
 
@@ -53,7 +53,7 @@
     this.#executor = new StatementExecutor(database, this.processId);
   }
 
-  /** Sends the greeting and starts to read. */
+  /** Sends the startup response and starts to read frontend messages. */
   start(): void {
     this.database.sessions.set(this.processId, this);
     this.socket.write(
@@ -100,16 +100,16 @@
       this.terminate((error as Error).message);
       return;
     }
-    if (!this.#running) void this.#drain();
+    if (!this.#running) void this.#processQueue();
   }
 
-  async #drain(): Promise<void> {
+  async #processQueue(): Promise<void> {
     this.#running = true;
     this.#stopIdleTimer();
     while (!this.#closed) {
       const frame = this.#queue.shift();
       if (frame === undefined) break;
-      await this.#handle(frame);
+      await this.#handleMessage(frame);
     }
     this.#flush();
     this.#running = false;
@@ -127,7 +127,7 @@
     this.#idleTimer = null;
   }
 
-  /** As `idle_session_timeout` does: ends a session that is idle outside a transaction. */
+  /** Implements `idle_session_timeout`: terminates a session that is idle outside a transaction. */
   #startIdleTimer(): void {
     const timeoutMs = Number(this.#executor.settings.get('idle_session_timeout') ?? 0);
     if (timeoutMs <= 0 || this.#executor.status !== 'I' || this.#closed) return;
@@ -137,7 +137,7 @@
     );
   }
 
-  async #handle(frame: Buffer): Promise<void> {
+  async #handleMessage(frame: Buffer): Promise<void> {
     const type = frame[0];
     if (type === FrontendType.terminate) {
       this.socket.end();
@@ -152,12 +152,12 @@
       await this.#sync();
       return;
     }
-    if (this.#skipToSync) return;
+    if (this.#skipsToSync) return;
     try {
-      await this.#extended(frame);
+      await this.#extendedQuery(frame);
     } catch (error) {
       this.#reportError(error);
-      this.#skipToSync = true;
+      this.#skipsToSync = true;
     }
   }
 
@@ -168,7 +168,7 @@
     this.#output.push(backend.errorResponse({ severity: 'ERROR', sqlState, message }));
   }
 
-  #ready(): void {
+  #sendReady(): void {
     this.#output.push(backend.readyForQuery(this.#executor.status));
     this.#flush();
   }
@@ -178,7 +178,7 @@
       const statements = parseStatements(text);
       if (statements.length === 0) this.#output.push(backend.emptyMessage(BackendType.emptyQueryResponse));
       for (const statement of statements) {
-        const result = await this.#run(statement, []);
+        const result = await this.#runStatement(statement, []);
         if (result.columns !== null) this.#output.push(backend.rowDescription(result.columns));
         this.#pushRows(result);
       }
@@ -186,21 +186,21 @@
     } catch (error) {
       this.#reportError(error);
     }
-    this.#ready();
+    this.#sendReady();
   }
 
   async #sync(): Promise<void> {
     try {
-      if (!this.#skipToSync) await this.#executor.commitImplicit();
+      if (!this.#skipsToSync) await this.#executor.commitImplicit();
     } catch (error) {
       this.#reportError(error);
     }
-    this.#skipToSync = false;
-    this.#ready();
+    this.#skipsToSync = false;
+    this.#sendReady();
   }
 
-  async #run(statement: ParsedStatement, values: readonly SqlValue[]): Promise<StatementResult> {
-    if (statement.kind === 'DiscardStmt') this.#prepared.clear();
+  async #runStatement(statement: ParsedStatement, values: readonly SqlValue[]): Promise<StatementResult> {
+    if (statement.kind === 'DiscardStmt') this.#preparedStatements.clear();
     if (isControlStatement(statement)) return this.#executor.execute(statement, values);
     this.database.counters.statements += 1;
     return this.database.withSlot(async () => {
@@ -214,7 +214,7 @@
     this.#output.push(backend.commandComplete(result.tag));
   }
 
-  async #extended(frame: Buffer): Promise<void> {
+  async #extendedQuery(frame: Buffer): Promise<void> {
     switch (frame[0]) {
       case FrontendType.parse:
         this.#parse(frame);
@@ -241,7 +241,7 @@
 
   #parse(frame: Buffer): void {
     const parse = readParse(frame);
-    if (parse.name !== '' && this.#prepared.has(parse.name)) {
+    if (parse.name !== '' && this.#preparedStatements.has(parse.name)) {
       throw new SqlError('42P05', `prepared statement "${parse.name}" already exists`);
     }
     const statements = parseStatements(parse.text);
@@ -251,8 +251,8 @@
     const declared: number[] = [];
     for (let i = 0; i < parse.typesPart.readInt16BE(0); i += 1)
       declared.push(parse.typesPart.readUInt32BE(2 + i * 4));
-    const parameterTypes = typeOfParameters(parse.text, declared);
-    this.#prepared.set(parse.name, { statement: statements[0] ?? null, parameterTypes });
+    const parameterTypes = parameterTypesOf(parse.text, declared);
+    this.#preparedStatements.set(parse.name, { statement: statements[0] ?? null, parameterTypes });
     this.#output.push(backend.emptyMessage(BackendType.parseComplete));
   }
 
@@ -260,7 +260,7 @@
     const reader = new BindReader(frame);
     const portalName = reader.cstring();
     const statementName = reader.cstring();
-    const prepared = this.#prepared.get(statementName);
+    const prepared = this.#preparedStatements.get(statementName);
     if (prepared === undefined)
       throw new SqlError('26000', `prepared statement "${statementName}" does not exist`);
     this.#portals.set(portalName, { prepared, values: reader.values(prepared.parameterTypes) });
@@ -269,7 +269,8 @@
 
   #describe(frame: Buffer): void {
     const { kind, name } = readDescribeOrClose(frame);
-    const prepared = kind === 'statement' ? this.#prepared.get(name) : this.#portals.get(name)?.prepared;
+    const prepared =
+      kind === 'statement' ? this.#preparedStatements.get(name) : this.#portals.get(name)?.prepared;
     if (prepared === undefined) throw new SqlError('26000', `${kind} "${name}" does not exist`);
     if (kind === 'statement') this.#output.push(backend.parameterDescription(prepared.parameterTypes));
     const columns = prepared.statement === null ? null : this.#executor.describe(prepared.statement);
@@ -286,12 +287,12 @@
       this.#output.push(backend.emptyMessage(BackendType.emptyQueryResponse));
       return;
     }
-    this.#pushRows(await this.#run(portal.prepared.statement, portal.values));
+    this.#pushRows(await this.#runStatement(portal.prepared.statement, portal.values));
   }
 
   #closeObject(frame: Buffer): void {
     const { kind, name } = readDescribeOrClose(frame);
-    if (kind === 'statement') this.#prepared.delete(name);
+    if (kind === 'statement') this.#preparedStatements.delete(name);
     else this.#portals.delete(name);
     this.#output.push(backend.emptyMessage(BackendType.closeComplete));
   }
@@ -328,7 +329,7 @@
     this.#offset += length;
     if (isBinary) return `\\x${bytes.toString('hex')}`;
     const text = bytes.toString('utf8');
-    return NUMERIC.has(typeOid) ? Number(text) : text;
+    return NUMERIC_TYPES.has(typeOid) ? Number(text) : text;
   }
 
   #int16(): number {
@@ -338,7 +339,7 @@
   }
 }
 
-const NUMERIC = new Set<number>([
+const NUMERIC_TYPES = new Set<number>([
   TypeOid.integer,
   TypeOid.bigint,
   TypeOid.smallint,
@@ -346,16 +347,16 @@
   TypeOid.real,
 ]);
 
-/** Transaction control, settings and status questions take no slot. */
+/** Transaction control, settings and status queries run without an execution slot. */
 function isControlStatement(statement: ParsedStatement): boolean {
-  const known = controlStatements.get(statement);
-  if (known !== undefined) return known;
-  const isControl = inspectControlStatement(statement);
-  controlStatements.set(statement, isControl);
+  const cached = controlStatementCache.get(statement);
+  if (cached !== undefined) return cached;
+  const isControl = computeIsControlStatement(statement);
+  controlStatementCache.set(statement, isControl);
   return isControl;
 }
 
-const controlStatements = new WeakMap<ParsedStatement, boolean>();
+const controlStatementCache = new WeakMap<ParsedStatement, boolean>();
 const CONTROL_FUNCTIONS = [
   'sorrelladder_group_status',
   'standin_',
@@ -363,7 +364,7 @@
   'pg_terminate_backend',
 ];
 
-function inspectControlStatement(statement: ParsedStatement): boolean {
+function computeIsControlStatement(statement: ParsedStatement): boolean {
   if (statement.kind === 'TransactionStmt' || statement.kind.startsWith('Variable')) return true;
   if (statement.kind !== 'SelectStmt') return false;
   const text = JSON.stringify(statement.body);
--- a/standin/member/sql-values.ts
+++ b/standin/member/sql-values.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 
-/** A value as the stand-in stores it. */
+/** A SQL value in its stored representation. */
 export type SqlScalar = string | number | boolean | null;
 
 /** A typed value of an expression. */
@@ -13,7 +13,7 @@
   readonly typeOid: number;
 }
 
-/** Type object ids, from the PostgreSQL catalogue. */
+/** Type object ids from the PostgreSQL catalog. */
 export const TypeOid = {
   boolean: 16,
   bytea: 17,
@@ -62,7 +62,7 @@
   TypeOid.double,
 ]);
 
-/** An error that a statement reports to its client. */
+/** An error that is reported to the client as an ErrorResponse with this SQLSTATE. */
 export class SqlError extends Error {
   constructor(
     readonly sqlState: string,
@@ -72,12 +72,12 @@
   }
 }
 
-/** Type object id for a type name as the parser gives it. */
+/** Type object id for a type name from the parser; unknown names are treated as text. */
 export function typeOidByName(name: string): number {
   return TYPE_NAMES[name] ?? TypeOid.text;
 }
 
-/** Converts a value to a type. */
+/** Casts a value to a type. */
 export function castValue(value: SqlScalar, typeOid: number): SqlScalar {
   if (value === null) return null;
   if (NUMBER_TYPES.has(typeOid)) return toNumber(value, typeOid);
--- a/standin/member/statement-executor.ts
+++ b/standin/member/statement-executor.ts
@@ -7,10 +7,10 @@
 import type { Database } from './database.js';
 import { evaluate, type EvaluationContext, type Row } from './expression.js';
 import { castValue, formatValue, SqlError, TypeOid, type SqlScalar, type SqlValue } from './sql-values.js';
-import { lastName, openNode, type ParsedStatement, type SyntaxBody, type SyntaxNode } from './syntax.js';
+import { lastName, unwrapNode, type ParsedStatement, type SyntaxBody, type SyntaxNode } from './syntax.js';
 import {
   buildRow,
-  command,
+  commandResult,
   functionColumns,
   functionName,
   generateSeries,
@@ -18,23 +18,23 @@
   type StatementResult,
 } from './result-shape.js';
 import { Projection } from './projection.js';
-import { activityRows, groupStatus, logRows, type SourceRows } from './system-rows.js';
+import { activityRows, groupStatus, logRows, type RowSource } from './system-rows.js';
 import { rowKey, type TableDefinition } from './tables.js';
 import { Transaction } from './transaction.js';
 
 const ROW_LOCK_TIMEOUT_MS = 1000;
 const MAX_SLEEP_MS = 60_000;
 
-/** Executes statements and keeps the session's transaction. */
+/** Executes statements and holds the session's transaction, settings and transaction status. */
 export class StatementExecutor {
   readonly settings = new Map<string, string>();
-  readonly #projection = new Projection((...question) => this.#context(...question));
+  readonly #projection = new Projection((...args) => this.#createContext(...args));
   #transaction: Transaction | null = null;
   #isExplicit = false;
-  #failed = false;
-  #readOnly = false;
-  #canceled = false;
-  #wakeSleeper: (() => void) | null = null;
+  #isFailed = false;
+  #isReadOnly = false;
+  #isCanceled = false;
+  #interruptSleep: (() => void) | null = null;
 
   constructor(
     private readonly database: Database,
@@ -44,21 +44,21 @@
   /** Transaction status for ReadyForQuery. */
   get status(): 'I' | 'T' | 'E' {
     if (!this.#isExplicit) return 'I';
-    return this.#failed ? 'E' : 'T';
+    return this.#isFailed ? 'E' : 'T';
   }
 
   /** Interrupts the running statement. */
   cancel(): void {
-    this.#canceled = true;
-    this.#wakeSleeper?.();
+    this.#isCanceled = true;
+    this.#interruptSleep?.();
   }
 
-  /** Forgets a cancel that came when nothing was running. */
+  /** Discards a cancel request that did not interrupt a statement. */
   clearCancel(): void {
-    this.#canceled = false;
+    this.#isCanceled = false;
   }
 
-  /** Rolls back and releases everything, at the end of the session. */
+  /** Rolls back the transaction and releases all locks when the session ends. */
   close(): void {
     this.#endTransaction();
     this.database.locks.releaseAllAdvisory(this.processId);
@@ -66,7 +66,7 @@
 
   /** Executes one statement inside the current or an implicit transaction. */
   async execute(statement: ParsedStatement, parameters: readonly SqlValue[]): Promise<StatementResult> {
-    if (this.#failed && !isTransactionEnd(statement)) {
+    if (this.#isFailed && !isTransactionEnd(statement)) {
       throw new SqlError(
         '25P02',
         'current transaction is aborted, commands ignored until end of transaction block',
@@ -75,9 +75,9 @@
     return this.#dispatch(statement, parameters);
   }
 
-  /** Marks a failure: an explicit transaction becomes failed, an implicit one is rolled back. */
+  /** Handles a failed statement: aborts an explicit transaction, rolls back an implicit one. */
   fail(): void {
-    if (this.#isExplicit) this.#failed = true;
+    if (this.#isExplicit) this.#isFailed = true;
     else this.#endTransaction();
   }
 
@@ -103,13 +103,13 @@
   ): readonly ColumnDescription[] {
     const columnTypes = this.#sourceTypes(from);
     const nullRow = Object.fromEntries(Object.keys(columnTypes).map((name) => [name, null]));
-    const context = this.#context([], nullRow, columnTypes, false);
+    const context = this.#createContext([], nullRow, columnTypes, false);
     return this.#projection.columns(targets, context);
   }
 
   #sourceTypes(from: SyntaxNode | undefined): Readonly<Record<string, number>> {
     if (from === undefined) return {};
-    const { kind, body } = openNode(from);
+    const { kind, body } = unwrapNode(from);
     if (kind === 'RangeVar') return this.#definition(body.relname).columnTypes;
     if (kind === 'RangeFunction') return functionColumns(functionName(body));
     return {};
@@ -139,30 +139,30 @@
       case 'DiscardStmt':
         this.settings.clear();
         this.database.locks.releaseAllAdvisory(this.processId);
-        return command('DISCARD ALL');
+        return commandResult('DISCARD ALL');
       default:
         throw new SqlError('0A000', `the stand-in does not support ${kind}`);
     }
   }
 
-  // --- transactions
+  // Transactions
 
   async #transactionStatement(body: SyntaxBody): Promise<StatementResult> {
     switch (body.kind) {
       case 'TRANS_STMT_BEGIN':
       case 'TRANS_STMT_START':
         this.#isExplicit = true;
-        this.#readOnly = JSON.stringify(body.options ?? '').includes('transaction_read_only');
-        return command('BEGIN');
+        this.#isReadOnly = JSON.stringify(body.options ?? '').includes('transaction_read_only');
+        return commandResult('BEGIN');
       case 'TRANS_STMT_COMMIT': {
-        const failed = this.#failed;
+        const failed = this.#isFailed;
         if (failed) this.#endTransaction();
         else await this.#commit();
-        return command(failed ? 'ROLLBACK' : 'COMMIT');
+        return commandResult(failed ? 'ROLLBACK' : 'COMMIT');
       }
       case 'TRANS_STMT_ROLLBACK':
         this.#endTransaction();
-        return command('ROLLBACK');
+        return commandResult('ROLLBACK');
       default:
         throw new SqlError('0A000', `the stand-in does not support ${String(body.kind)}`);
     }
@@ -188,58 +188,58 @@
       this.database.locks.releaseRows(this.processId, this.#transaction.lockedRows);
     this.#transaction = null;
     this.#isExplicit = false;
-    this.#failed = false;
-    this.#readOnly = false;
+    this.#isFailed = false;
+    this.#isReadOnly = false;
   }
 
-  #current(): Transaction {
+  #currentTransaction(): Transaction {
     this.#transaction ??= new Transaction(this.database.tables);
     return this.#transaction;
   }
 
-  #writable(): Transaction {
-    const transaction = this.#current();
-    transaction.requireWritable(this.database.log.role === 'primary' && !this.#readOnly);
+  #writableTransaction(): Transaction {
+    const transaction = this.#currentTransaction();
+    transaction.requireWritable(this.database.log.role === 'primary' && !this.#isReadOnly);
     return transaction;
   }
 
   #definition(table: string): TableDefinition {
-    return this.#current().definition(table);
+    return this.#currentTransaction().definition(table);
   }
 
   async #lockRow(transaction: Transaction, table: string, key: string): Promise<void> {
     const name = `${table}\u0001${key}`;
-    const taken = await this.database.locks.takeRow(name, this.processId, ROW_LOCK_TIMEOUT_MS);
-    if (!taken) throw new SqlError('55P03', 'could not obtain lock on row');
+    const acquired = await this.database.locks.acquireRow(name, this.processId, ROW_LOCK_TIMEOUT_MS);
+    if (!acquired) throw new SqlError('55P03', 'could not obtain lock on row');
     transaction.lockedRows.add(name);
   }
 
-  // --- definitions
+  // Data definition
 
   #createTable(body: SyntaxBody): StatementResult {
-    const transaction = this.#writable();
+    const transaction = this.#writableTransaction();
     const name: string = body.relation.relname;
-    if (transaction.has(name)) {
-      if (body.if_not_exists) return command('CREATE TABLE');
+    if (transaction.hasTable(name)) {
+      if (body.if_not_exists) return commandResult('CREATE TABLE');
       throw new SqlError('42P07', `relation "${name}" already exists`);
     }
-    transaction.change({ kind: 'createTable', definition: readTableDefinition(name, body.tableElts) });
-    return command('CREATE TABLE');
+    transaction.recordChange({ kind: 'createTable', definition: readTableDefinition(name, body.tableElts) });
+    return commandResult('CREATE TABLE');
   }
 
   #dropTable(body: SyntaxBody): StatementResult {
-    const transaction = this.#writable();
+    const transaction = this.#writableTransaction();
     const table = lastName(body.objects[0]?.List?.items);
-    if (!transaction.has(table) && !body.missing_ok)
+    if (!transaction.hasTable(table) && !body.missing_ok)
       throw new SqlError('42P01', `table "${table}" does not exist`);
-    transaction.change({ kind: 'dropTable', table });
-    return command('DROP TABLE');
+    transaction.recordChange({ kind: 'dropTable', table });
+    return commandResult('DROP TABLE');
   }
 
-  // --- reading
+  // Queries
 
   async #select(body: SyntaxBody, parameters: readonly SqlValue[]): Promise<StatementResult> {
-    await this.#sleepIfAsked(body, parameters);
+    await this.#runSleepCalls(body, parameters);
     const source = this.#source(body.fromClause?.[0], body.whereClause, parameters);
     let rows = source.rows.filter((row) =>
       this.#projection.matches(body.whereClause, row, source.columnTypes, parameters),
@@ -247,17 +247,17 @@
     if (body.sortClause !== undefined)
       rows = this.#projection.sort(rows, body.sortClause, source.columnTypes, parameters);
     if (body.limitCount !== undefined) {
-      const limit = evaluate(body.limitCount, this.#context(parameters, null, {}, true)).value;
+      const limit = evaluate(body.limitCount, this.#createContext(parameters, null, {}, true)).value;
       if (limit !== null) rows = rows.slice(0, Number(limit));
     }
     return this.#projection.project(body.targetList ?? [], rows, source.columnTypes, parameters);
   }
 
-  async #sleepIfAsked(body: SyntaxBody, parameters: readonly SqlValue[]): Promise<void> {
+  async #runSleepCalls(body: SyntaxBody, parameters: readonly SqlValue[]): Promise<void> {
     for (const target of (body.targetList ?? []) as SyntaxNode[]) {
       const call = target['ResTarget']?.val?.FuncCall;
       if (call === undefined || lastName(call.funcname) !== 'pg_sleep') continue;
-      const seconds = Number(evaluate(call.args[0], this.#context(parameters, null, {}, true)).value);
+      const seconds = Number(evaluate(call.args[0], this.#createContext(parameters, null, {}, true)).value);
       await this.#sleep(Math.min(seconds * 1000, MAX_SLEEP_MS));
     }
   }
@@ -265,14 +265,14 @@
   async #sleep(durationMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, durationMs);
-      this.#wakeSleeper = () => {
+      this.#interruptSleep = () => {
         clearTimeout(timer);
         resolve();
       };
     });
-    this.#wakeSleeper = null;
-    if (!this.#canceled) return;
-    this.#canceled = false;
+    this.#interruptSleep = null;
+    if (!this.#isCanceled) return;
+    this.#isCanceled = false;
     throw new SqlError('57014', 'canceling statement due to user request');
   }
 
@@ -280,22 +280,22 @@
     from: SyntaxNode | undefined,
     where: SyntaxNode | undefined,
     parameters: readonly SqlValue[],
-  ): SourceRows {
+  ): RowSource {
     if (from === undefined) return { rows: [{}], columnTypes: {} };
-    const { kind, body } = openNode(from);
+    const { kind, body } = unwrapNode(from);
     if (kind === 'RangeVar') return this.#tableRows(body.relname, where, parameters);
     if (kind === 'RangeFunction') return this.#functionRows(body, parameters);
     throw new SqlError('0A000', `the stand-in does not support ${kind} in FROM`);
   }
 
-  #tableRows(table: string, where: SyntaxNode | undefined, parameters: readonly SqlValue[]): SourceRows {
+  #tableRows(table: string, where: SyntaxNode | undefined, parameters: readonly SqlValue[]): RowSource {
     if (table === 'pg_stat_activity') return activityRows(this.database);
     const definition = this.#definition(table);
-    const candidates = this.#candidateRows(this.#current(), definition, where, parameters);
+    const candidates = this.#candidateRows(this.#currentTransaction(), definition, where, parameters);
     return { rows: candidates.map(([, row]) => row), columnTypes: definition.columnTypes };
   }
 
-  /** The one row that `primary key = value` can match, or all rows. */
+  /** Candidate rows for a condition: at most one for `primary key = value`, otherwise all rows. */
   #candidateRows(
     transaction: Transaction,
     definition: TableDefinition,
@@ -306,17 +306,17 @@
     const column = lastName(comparison?.lexpr?.ColumnRef?.fields);
     const isKeyLookup = comparison?.kind === 'AEXPR_OP' && column === definition.primaryKey;
     if (!isKeyLookup || lastName(comparison.name) !== '=') return [...transaction.rows(definition.name)];
-    const value = evaluate(comparison.rexpr, this.#context(parameters, null, {}, true)).value;
+    const value = evaluate(comparison.rexpr, this.#createContext(parameters, null, {}, true)).value;
     const key = rowKey(castValue(value, definition.columnTypes[column] ?? TypeOid.text));
     const row = transaction.row(definition.name, key);
     return row === null ? [] : [[key, row]];
   }
 
-  #functionRows(body: SyntaxBody, parameters: readonly SqlValue[]): SourceRows {
+  #functionRows(body: SyntaxBody, parameters: readonly SqlValue[]): RowSource {
     const name = functionName(body);
     const call = body.functions[0].List.items[0].FuncCall;
     const args = ((call.args ?? []) as SyntaxNode[]).map(
-      (arg) => evaluate(arg, this.#context(parameters, null, {}, true)).value,
+      (arg) => evaluate(arg, this.#createContext(parameters, null, {}, true)).value,
     );
     const columnTypes = functionColumns(name);
     switch (name) {
@@ -333,10 +333,10 @@
     }
   }
 
-  // --- writing
+  // Data modification
 
   async #insert(body: SyntaxBody, parameters: readonly SqlValue[]): Promise<StatementResult> {
-    const transaction = this.#writable();
+    const transaction = this.#writableTransaction();
     const definition = this.#definition(body.relation.relname);
     const columns: string[] =
       (body.cols as SyntaxNode[] | undefined)?.map((column) => column['ResTarget'].name) ??
@@ -345,7 +345,7 @@
     const written: Row[] = [];
     for (const list of valueLists) {
       const values = (list['List'].items as SyntaxNode[]).map(
-        (item) => evaluate(item, this.#context(parameters, null, {}, true)).value,
+        (item) => evaluate(item, this.#createContext(parameters, null, {}, true)).value,
       );
       const row = buildRow(definition, columns, values);
       const stored = await this.#insertRow(transaction, definition, row, body.onConflictClause, parameters);
@@ -365,7 +365,7 @@
     await this.#lockRow(transaction, definition.name, key);
     const existing = transaction.row(definition.name, key);
     if (existing === null) {
-      transaction.change({ kind: 'put', table: definition.name, key, row });
+      transaction.recordChange({ kind: 'put', table: definition.name, key, row });
       return row;
     }
     if (conflict?.action === 'ONCONFLICT_NOTHING') return null;
@@ -373,12 +373,12 @@
       throw new SqlError('23505', `duplicate key value violates unique constraint "${definition.name}_pkey"`);
     }
     const updated = this.#assign(definition, existing, conflict.targetList, parameters, row);
-    transaction.change({ kind: 'put', table: definition.name, key, row: updated });
+    transaction.recordChange({ kind: 'put', table: definition.name, key, row: updated });
     return updated;
   }
 
   async #update(body: SyntaxBody, parameters: readonly SqlValue[]): Promise<StatementResult> {
-    const transaction = this.#writable();
+    const transaction = this.#writableTransaction();
     const definition = this.#definition(body.relation.relname);
     const written: Row[] = [];
     for (const key of this.#matchingKeys(transaction, definition, body.whereClause, parameters)) {
@@ -390,21 +390,21 @@
       )
         continue;
       const row = this.#assign(definition, current, body.targetList, parameters, null);
-      transaction.change({ kind: 'put', table: definition.name, key, row });
+      transaction.recordChange({ kind: 'put', table: definition.name, key, row });
       written.push(row);
     }
     return this.#writeResult('UPDATE', body, written, definition, parameters);
   }
 
   async #delete(body: SyntaxBody, parameters: readonly SqlValue[]): Promise<StatementResult> {
-    const transaction = this.#writable();
+    const transaction = this.#writableTransaction();
     const definition = this.#definition(body.relation.relname);
     const removed: Row[] = [];
     for (const key of this.#matchingKeys(transaction, definition, body.whereClause, parameters)) {
       await this.#lockRow(transaction, definition.name, key);
       const current = transaction.row(definition.name, key);
       if (current === null) continue;
-      transaction.change({ kind: 'remove', table: definition.name, key });
+      transaction.recordChange({ kind: 'remove', table: definition.name, key });
       removed.push(current);
     }
     return this.#writeResult('DELETE', body, removed, definition, parameters);
@@ -430,7 +430,7 @@
     parameters: readonly SqlValue[],
     excluded: Row | null,
   ): Row {
-    const context = { ...this.#context(parameters, current, definition.columnTypes, true), excluded };
+    const context = { ...this.#createContext(parameters, current, definition.columnTypes, true), excluded };
     const assigned: Record<string, SqlScalar> = { ...current };
     for (const target of targets) {
       const { name, val } = target['ResTarget'];
@@ -451,17 +451,17 @@
     return this.#projection.project(targets, rows, definition.columnTypes, parameters, tag);
   }
 
-  // --- settings and functions
+  // Settings and functions
 
   #setVariable(body: SyntaxBody): StatementResult {
     if (body.kind === 'VAR_SET_VALUE') {
-      const value = evaluate(body.args[0], this.#context([], null, {}, true)).value;
+      const value = evaluate(body.args[0], this.#createContext([], null, {}, true)).value;
       this.settings.set(body.name, value === null ? '' : formatValue(value));
-      return command('SET');
+      return commandResult('SET');
     }
     if (body.kind === 'VAR_RESET_ALL') this.settings.clear();
     else this.settings.delete(body.name);
-    return command(body.kind === 'VAR_SET_DEFAULT' ? 'SET' : 'RESET');
+    return commandResult(body.kind === 'VAR_SET_DEFAULT' ? 'SET' : 'RESET');
   }
 
   #showVariable(body: SyntaxBody): StatementResult {
@@ -469,35 +469,40 @@
     return { columns: [{ name: body.name, typeOid: TypeOid.text }], rows: [[value]], tag: 'SHOW' };
   }
 
-  #context(
+  #createContext(
     parameters: readonly SqlValue[],
     row: Row | null,
     columnTypes: Readonly<Record<string, number>>,
-    mayAct: boolean,
+    allowSideEffects: boolean,
   ): EvaluationContext {
     return {
       parameters,
       row,
       columnTypes,
       excluded: null,
-      callFunction: (name, args) => this.#callSessionFunction(name, args, mayAct),
+      callFunction: (name, args) => this.#callSessionFunction(name, args, allowSideEffects),
     };
   }
 
-  #callSessionFunction(name: string, args: readonly SqlScalar[], mayAct: boolean): SqlValue | null {
+  #callSessionFunction(name: string, args: readonly SqlScalar[], allowSideEffects: boolean): SqlValue | null {
     switch (name) {
       case 'pg_try_advisory_lock': {
-        const taken = mayAct && this.database.locks.tryAdvisory(String(args[0]), this.processId);
-        return { value: taken, typeOid: TypeOid.boolean };
+        const acquired =
+          allowSideEffects && this.database.locks.tryAcquireAdvisory(String(args[0]), this.processId);
+        return { value: acquired, typeOid: TypeOid.boolean };
       }
       case 'pg_advisory_unlock': {
-        const released = mayAct && this.database.locks.releaseAdvisory(String(args[0]), this.processId);
+        const released =
+          allowSideEffects && this.database.locks.releaseAdvisory(String(args[0]), this.processId);
         return { value: released, typeOid: TypeOid.boolean };
       }
       case 'pg_backend_pid':
         return { value: this.processId, typeOid: TypeOid.integer };
       case 'pg_terminate_backend':
-        return { value: mayAct && this.#terminateBackend(Number(args[0])), typeOid: TypeOid.boolean };
+        return {
+          value: allowSideEffects && this.#terminateBackend(Number(args[0])),
+          typeOid: TypeOid.boolean,
+        };
       case 'current_setting':
         return { value: this.settings.get(String(args[0])) ?? '', typeOid: TypeOid.text };
       case 'pg_sleep':
--- a/standin/member/syntax.ts
+++ b/standin/member/syntax.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of the parser's syntax tree that the member stand-in understands.
+ * Parses SQL and reads the nodes of the syntax tree that the member stand-in supports.
  *
  * @packageDocumentation
  */
@@ -7,9 +7,9 @@
 import { LRUCache } from 'lru-cache';
 import { SqlError, TypeOid, typeOidByName } from './sql-values.js';
 
-/** A node of the syntax tree: an object with one key, the node's kind. */
+/** A node of the syntax tree: an object whose only key is the node's kind. */
 export type SyntaxNode = Readonly<Record<string, SyntaxBody>>;
-/** The fields of a node. The parser's own types are wider than what is read here. */
+/** The fields of a node; untyped, since the parser's own types cover far more than is read here. */
 // eslint-disable-next-line @typescript-eslint/no-explicit-any
 export type SyntaxBody = any;
 
@@ -19,16 +19,16 @@
   readonly body: SyntaxBody;
 }
 
-const parsed = new LRUCache<string, readonly ParsedStatement[]>({ max: 2000 });
+const parsedStatements = new LRUCache<string, readonly ParsedStatement[]>({ max: 2000 });
 
 await loadModule();
 
-/** Parses a text; the result is cached. */
+/** Parses a query text; the result is cached. */
 export function parseStatements(text: string): readonly ParsedStatement[] {
-  const known = parsed.get(text);
-  if (known !== undefined) return known;
+  const cached = parsedStatements.get(text);
+  if (cached !== undefined) return cached;
   const statements = parseUncached(text);
-  parsed.set(text, statements);
+  parsedStatements.set(text, statements);
   return statements;
 }
 
@@ -45,27 +45,27 @@
 }
 
 /** Kind and fields of a node. */
-export function openNode(node: SyntaxNode): { readonly kind: string; readonly body: SyntaxBody } {
+export function unwrapNode(node: SyntaxNode): { readonly kind: string; readonly body: SyntaxBody } {
   const [kind, body] = Object.entries(node)[0] ?? ['', {}];
   return { kind, body };
 }
 
-/** The last name of a list of String nodes, for instance a type or function name. */
+/** The unqualified name from a list of String nodes, such as a type or function name. */
 export function lastName(names: readonly SyntaxNode[] | undefined): string {
   return names?.at(-1)?.['String']?.sval ?? '';
 }
 
-const parameterTypes = new LRUCache<string, readonly number[]>({ max: 2000 });
+const parameterTypeCache = new LRUCache<string, readonly number[]>({ max: 2000 });
 
-/** Types of a statement's parameters: declared ones, else those of a cast such as `$1::int`, else text. */
-export function typeOfParameters(text: string, declared: readonly number[]): readonly number[] {
+/** Types of a statement's parameters: the declared type, else that of a cast such as `$1::int`, else text. */
+export function parameterTypesOf(text: string, declared: readonly number[]): readonly number[] {
   const cacheKey = `${declared.join(',')}|${text}`;
-  const known = parameterTypes.get(cacheKey);
-  if (known !== undefined) return known;
+  const cached = parameterTypeCache.get(cacheKey);
+  if (cached !== undefined) return cached;
   const types: number[] = [];
   collectParameters(parseStatements(text), types);
   const resolved = Array.from(types, (type, position) => declared[position] || type || TypeOid.text);
-  parameterTypes.set(cacheKey, resolved);
+  parameterTypeCache.set(cacheKey, resolved);
   return resolved;
 }
 
--- a/standin/member/system-rows.ts
+++ b/standin/member/system-rows.ts
@@ -1,5 +1,5 @@
 /**
- * Rows of the member stand-in that stand in no table: sessions, the group, the log.
+ * Rows of the member stand-in's system views and functions: sessions, group status, replicated log.
  *
  * @packageDocumentation
  */
@@ -7,14 +7,14 @@
 import type { Row } from './expression.js';
 import { TypeOid } from './sql-values.js';
 
-/** Rows to select from, and the types of their columns. */
-export interface SourceRows {
+/** Rows of a FROM item and the types of their columns. */
+export interface RowSource {
   readonly rows: readonly Row[];
   readonly columnTypes: Readonly<Record<string, number>>;
 }
 
-/** The sessions, as `pg_stat_activity` shows them. */
-export function activityRows(database: Database): SourceRows {
+/** Rows of `pg_stat_activity`. */
+export function activityRows(database: Database): RowSource {
   const rows = [...database.sessions.values()].map((session) => ({
     pid: session.processId,
     application_name: session.applicationName,
@@ -22,7 +22,7 @@
   return { rows, columnTypes: { pid: TypeOid.integer, application_name: TypeOid.text } };
 }
 
-/** What the member says of itself and its group. */
+/** The row that `sorrelladder_group_status()` returns. */
 export function groupStatus({ log, settings, leavingSinceMs }: Database): Row {
   return {
     member: settings.memberId,
@@ -36,7 +36,7 @@
   };
 }
 
-/** The log, for checkers. */
+/** Rows of `standin_log()`, read by history checkers. */
 export function logRows({ log }: Database): Row[] {
   return log.entries.map((entry) => ({
     term: entry.term,
--- a/standin/member/tables.ts
+++ b/standin/member/tables.ts
@@ -6,7 +6,7 @@
 import type { Row } from './expression.js';
 import { SqlError, type SqlScalar } from './sql-values.js';
 
-/** Definition of a table. */
+/** Columns and primary key of a table. */
 export interface TableDefinition {
   readonly name: string;
   readonly primaryKey: string;
@@ -25,12 +25,12 @@
   readonly rows: Map<string, Row>;
 }
 
-/** Key under which a primary key value is stored. */
+/** Map key for a primary key value. */
 export function rowKey(value: SqlScalar): string {
   return String(value);
 }
 
-/** The applied state of a member. */
+/** The tables of a member after the applied log entries. */
 export class Tables {
   readonly #tables = new Map<string, Table>();
 
@@ -40,7 +40,7 @@
   }
 
   /** True when the table exists. */
-  has(name: string): boolean {
+  hasTable(name: string): boolean {
     return this.#tables.has(name);
   }
 
@@ -54,7 +54,6 @@
     return this.#table(name).rows.entries();
   }
 
-  /** Applies one change. */
   apply(change: Change): void {
     switch (change.kind) {
       case 'createTable':
@@ -72,7 +71,7 @@
     }
   }
 
-  /** Forgets everything. */
+  /** Drops all tables. */
   clear(): void {
     this.#tables.clear();
   }
--- a/standin/member/transaction.ts
+++ b/standin/member/transaction.ts
@@ -1,5 +1,5 @@
 /**
- * One transaction of the member stand-in: its own changes over the applied tables.
+ * One transaction of the member stand-in: its uncommitted changes overlaid on the applied tables.
  *
  * @packageDocumentation
  */
@@ -7,36 +7,36 @@
 import { SqlError } from './sql-values.js';
 import type { Change, TableDefinition, Tables } from './tables.js';
 
-/** Changes of one transaction, seen by its own statements and nobody else's. */
+/** Uncommitted changes, visible only to the statements of the same transaction. */
 export class Transaction {
   readonly changes: Change[] = [];
   readonly lockedRows = new Set<string>();
   readonly #overlay = new Map<string, Row | null>();
-  readonly #created = new Map<string, TableDefinition>();
+  readonly #createdTables = new Map<string, TableDefinition>();
 
   constructor(private readonly tables: Tables) {}
 
-  /** Definition of a table, also one that this transaction made. */
+  /** Definition of a table, including one created by this transaction. */
   definition(table: string): TableDefinition {
-    return this.#created.get(table) ?? this.tables.definition(table);
+    return this.#createdTables.get(table) ?? this.tables.definition(table);
   }
 
-  /** True when the table exists for this transaction. */
-  has(table: string): boolean {
-    return this.#created.has(table) || this.tables.has(table);
+  /** True when the table is visible to this transaction. */
+  hasTable(table: string): boolean {
+    return this.#createdTables.has(table) || this.tables.hasTable(table);
   }
 
-  /** One row as this transaction sees it. */
+  /** One row, including this transaction's own changes. */
   row(table: string, key: string): Row | null {
     const own = this.#overlay.get(overlayKey(table, key));
     if (own !== undefined) return own;
-    return this.#created.has(table) ? null : this.tables.row(table, key);
+    return this.#createdTables.has(table) ? null : this.tables.row(table, key);
   }
 
-  /** All rows as this transaction sees them. */
+  /** All rows, including this transaction's own changes. */
   *rows(table: string): IterableIterator<[string, Row]> {
     const prefix = overlayKey(table, '');
-    if (!this.#created.has(table)) {
+    if (!this.#createdTables.has(table)) {
       for (const [key, row] of this.tables.rows(table)) {
         if (!this.#overlay.has(prefix + key)) yield [key, row];
       }
@@ -46,15 +46,14 @@
     }
   }
 
-  /** Records a change. */
-  change(change: Change): void {
+  recordChange(change: Change): void {
     this.changes.push(change);
-    if (change.kind === 'createTable') this.#created.set(change.definition.name, change.definition);
+    if (change.kind === 'createTable') this.#createdTables.set(change.definition.name, change.definition);
     if (change.kind === 'put') this.#overlay.set(overlayKey(change.table, change.key), change.row);
     if (change.kind === 'remove') this.#overlay.set(overlayKey(change.table, change.key), null);
   }
 
-  /** @throws SqlError 25006 when the transaction has changes and `writable` is false */
+  /** @throws SqlError 25006 when `writable` is false */
   requireWritable(writable: boolean): void {
     if (!writable) throw new SqlError('25006', 'cannot execute a write in a read-only transaction');
   }
