--- a/standin/rig/fault-proxy.test.ts
+++ b/standin/rig/fault-proxy.test.ts
@@ -1,10 +1,15 @@
 /**
- * Connections through the proxy when the way is cut.
+ * Connections through the proxy while a link is cut.
  *
- * A soak (reborn 9015) left a group without a leader: the next life of its leader refused everybody, since it counted 7 of 6 connections, of
- * which up to 15 (beside an earlier cut) had been closed by their callers while the way was cut. The proxy connected on as if there were a way,
- * and never delivered an end that a cut had held up; on a network an opening does not arrive, and a member drops a connection whose far end is dark.
- * Evidence: a trial that counted the connections whose caller had closed, at each refusal; `promotion_candidates why="core-m1 busy_dial"`.
+ * Guards against connections that outlive their callers on the target. The proxy used to connect to the
+ * target during a cut and never delivered the end of a connection that the cut had held back. On a real
+ * network a connection request does not arrive during a cut, and a member drops a connection whose peer is
+ * unreachable.
+ *
+ * In a soak (profile reborn, seed 9015) this left a group without a leader: the next incarnation of its
+ * leader refused every connection because it counted 7 of 6. Up to 15 (together with an earlier cut) had been
+ * closed by their callers while the link was cut. Evidence: a trial that counted, at each refusal, the
+ * connections whose caller had closed, and the event `promotion_candidates why="core-m1 busy_dial"`.
  *
  * @packageDocumentation
  */
@@ -18,12 +23,12 @@
 const CALLER = 'client';
 const TARGET = 'member';
 
-describe('a proxy whose way is cut', () => {
+describe('a fault proxy with a cut link', () => {
   let proxy: FaultProxy;
   let target: Server;
   let port = 0;
   const accepted = new Set<Socket>();
-  /** All that came in, in order. */
+  /** All bytes received by the target, in order. */
   let received = '';
 
   beforeEach(async () => {
@@ -37,7 +42,7 @@
     await new Promise<void>((resolve) => target.listen(0, HOST, resolve));
     proxy = new FaultProxy();
     const targetPort = (target.address() as AddressInfo).port;
-    // The port of the proxy is taken from one that is free now.
+    // FaultProxy needs a fixed port, so a currently free one is chosen.
     port = await freePort();
     await proxy.forward({ zone: TARGET, listenHost: HOST, port, targetHost: HOST, targetPort });
   });
@@ -52,38 +57,38 @@
     [CALLER, TARGET],
     [TARGET, CALLER],
   ] as const) {
-    test(`opens no connection before it is healed (${from} to ${to})`, async () => {
+    test(`opens no connection to the target before the cut heals (${from} to ${to})`, async () => {
       proxy.cutOneWay(from, to);
-      const socket = await connected(port);
+      const socket = await openConnection(port);
       socket.write('asked');
-      const given = await connected(port);
-      given.destroy();
-      await closed(given);
+      const abandoned = await openConnection(port);
+      abandoned.destroy();
+      await waitForClose(abandoned);
       assert.equal(accepted.size, 0);
       proxy.heal();
-      await waitUntil('the connection that was not given up', () => accepted.size === 1);
-      await waitUntil('what was asked', () => received === 'asked');
+      await waitUntil('the connection that its caller kept open', () => accepted.size === 1);
+      await waitUntil('the bytes sent during the cut', () => received === 'asked');
       socket.destroy();
-      await waitUntil('its end', () => accepted.size === 0);
+      await waitUntil('the close of the connection', () => accepted.size === 0);
     });
   }
 
   for (const isReset of [false, true]) {
-    test(`delivers an end once it is healed (${isReset ? 'a reset' : 'an ordinary one'})`, async () => {
-      const socket = await connected(port);
+    test(`delivers a held end when the cut heals (${isReset ? 'reset' : 'orderly close'})`, async () => {
+      const socket = await openConnection(port);
       await waitUntil('the connection', () => accepted.size === 1);
       proxy.cutOneWay(CALLER, TARGET);
       if (isReset) socket.resetAndDestroy();
       else socket.destroy();
-      await closed(socket);
+      await waitForClose(socket);
       assert.equal(accepted.size, 1);
       proxy.heal();
-      await waitUntil('the end', () => accepted.size === 0);
+      await waitUntil('the end of the connection', () => accepted.size === 0);
     });
   }
 
-  test('delivers what was asked while it was cut', async () => {
-    const socket = await connected(port);
+  test('delivers bytes sent during a cut when it heals', async () => {
+    const socket = await openConnection(port);
     await waitUntil('the connection', () => accepted.size === 1);
     proxy.isolate(CALLER, [TARGET]);
     socket.write('one ');
@@ -91,7 +96,7 @@
     await new Promise((resolve) => setImmediate(resolve));
     assert.equal(received, '');
     proxy.heal();
-    await waitUntil('both', () => received === 'one two');
+    await waitUntil('both writes', () => received === 'one two');
   });
 });
 
@@ -103,18 +108,18 @@
   return port;
 }
 
-function connected(port: number): Promise<Socket> {
+function openConnection(port: number): Promise<Socket> {
   return new Promise((resolve, reject) => {
     const socket = connect({ host: HOST, port });
     socket.once('connect', () => resolve(socket)).once('error', reject);
   });
 }
 
-/** Resolves when the socket has closed, and the proxy has had a moment to see it. */
-function closed(socket: Socket): Promise<void> {
+/** Resolves 50 ms after the socket has closed, so that the proxy has seen the close. */
+function waitForClose(socket: Socket): Promise<void> {
   return new Promise((resolve) => {
-    const soon = (): void => void setTimeout(resolve, 50);
-    if (socket.closed) soon();
-    else socket.once('close', soon);
+    const resolveSoon = (): void => void setTimeout(resolve, 50);
+    if (socket.closed) resolveSoon();
+    else socket.once('close', resolveSoon);
   });
 }
--- a/standin/rig/fault-proxy.ts
+++ b/standin/rig/fault-proxy.ts
@@ -1,8 +1,8 @@
 /**
- * A TCP proxy that stands before every process of a test deployment: cuts and delays traffic between zones.
+ * TCP proxy in front of every process of a test deployment; cuts and delays traffic between zones.
  *
- * The zone of a connection's origin is read from its source address, since every process connects from its own
- * IP number. Held traffic is delivered when a cut heals, as TCP would retransmit it.
+ * The zone of a connection's origin is derived from its source address, since every process connects from its
+ * own IP address. Traffic held during a cut is delivered when the cut heals, as TCP would retransmit it.
  *
  * @packageDocumentation
  */
@@ -14,15 +14,15 @@
   readonly listenHost: string;
   readonly port: number;
   readonly targetHost: string;
-  /** Where it goes on the target, if that is another port. */
+  /** Port on the target, if it differs from `port`. */
   readonly targetPort?: number;
 }
 
-/** Bytes on their way, or the end of the connection. */
-type Content = Buffer | 'end' | 'reset';
+/** Bytes in transit, or the end of the connection. */
+type Payload = Buffer | 'end' | 'reset';
 
 interface Chunk {
-  readonly content: Content;
+  readonly payload: Payload;
   readonly dueMs: number;
 }
 
@@ -31,8 +31,8 @@
   readonly #queue: Chunk[] = [];
   #timer: NodeJS.Timeout | null = null;
   #hasEnded = false;
-  #isDelivered = false;
-  #isHeld = true;
+  #isEndDelivered = false;
+  #awaitsStart = true;
 
   constructor(
     private readonly proxy: FaultProxy,
@@ -42,89 +42,89 @@
   ) {}
 
   push(data: Buffer): void {
-    this.#take(data);
+    this.#enqueue(data);
   }
 
-  /** The end is as late as the bytes before it. */
+  /** Queues the end of the stream behind the bytes in transit, with the same delay. */
   end(): void {
     if (this.#hasEnded) return;
     this.#hasEnded = true;
-    this.#take('end');
+    this.#enqueue('end');
   }
 
-  /** Bytes that are still on their way are lost. */
+  /** Queues a reset and drops the bytes in transit. */
   reset(): void {
     this.#hasEnded = true;
     this.#queue.length = 0;
-    this.#take('reset');
+    this.#enqueue('reset');
   }
 
-  /** The connection onwards has been asked for: bytes may go. */
-  release(): void {
-    this.#isHeld = false;
+  /** Starts delivery once the connection to the sink has been initiated. */
+  startDelivery(): void {
+    this.#awaitsStart = false;
     this.pump();
   }
 
-  /** True once the end has been delivered. */
-  get isDelivered(): boolean {
-    return this.#isDelivered;
+  /** True once the end of the stream or a reset has been delivered. */
+  get isEndDelivered(): boolean {
+    return this.#isEndDelivered;
   }
 
-  /** Delivers what is due, unless the way is cut. */
+  /** Delivers queued chunks that are due, unless the link is cut. */
   pump(): void {
     if (this.#timer !== null) clearTimeout(this.#timer);
     this.#timer = null;
-    if (this.#isStopped) return;
+    if (this.#isBlocked) return;
     const nowMs = performance.now();
     while (this.#queue[0] !== undefined && this.#queue[0].dueMs <= nowMs) {
       const chunk = this.#queue.shift();
-      if (chunk !== undefined) this.#deliver(chunk.content);
+      if (chunk !== undefined) this.#deliver(chunk.payload);
     }
     const next = this.#queue[0];
     if (next !== undefined) this.#timer = setTimeout(() => this.pump(), Math.max(1, next.dueMs - nowMs));
   }
 
-  get #isStopped(): boolean {
-    return this.#isHeld || this.proxy.isCut(this.fromZone, this.toZone);
+  get #isBlocked(): boolean {
+    return this.#awaitsStart || this.proxy.isCut(this.fromZone, this.toZone);
   }
 
-  #take(content: Content): void {
+  #enqueue(payload: Payload): void {
     const delayMs = this.proxy.delayMs(this.fromZone, this.toZone);
-    if (delayMs === 0 && this.#queue.length === 0 && !this.#isStopped) {
-      this.#deliver(content);
+    if (delayMs === 0 && this.#queue.length === 0 && !this.#isBlocked) {
+      this.#deliver(payload);
       return;
     }
-    this.#queue.push({ content, dueMs: performance.now() + delayMs });
+    this.#queue.push({ payload: payload, dueMs: performance.now() + delayMs });
     this.pump();
   }
 
-  #deliver(content: Content): void {
-    this.#isDelivered = typeof content === 'string';
-    if (content === 'end') this.sink.end();
-    else if (content === 'reset') this.sink.destroy();
-    else this.sink.write(content);
+  #deliver(payload: Payload): void {
+    this.#isEndDelivered = typeof payload === 'string';
+    if (payload === 'end') this.sink.end();
+    else if (payload === 'reset') this.sink.destroy();
+    else this.sink.write(payload);
   }
 }
 
-/** Proxies for all processes of a deployment, in the process that runs the experiment. */
+/** Proxies for all processes of a deployment, run inside the process that drives the test. */
 export class FaultProxy {
   readonly #servers: Server[] = [];
   readonly #sockets = new Set<Socket>();
-  /** Those whose end has not been delivered: a cut holds it like all that came before. */
+  /** Flows whose end has not been delivered; a cut holds back the end like the bytes before it. */
   readonly #flows = new Set<Flow>();
-  /** Connections that wait for a way. */
-  readonly #unopened = new Set<() => boolean>();
+  /** Connection attempts that wait for a cut to heal; each returns false while it must be retried. */
+  readonly #pendingConnects = new Set<() => boolean>();
   readonly #zones = new Map<string, string>();
   readonly #cuts = new Set<string>();
   readonly #delays = new Map<string, number>();
   #zoneLatencyMs = 0;
 
-  /** Says which zone a source address belongs to; `client` is assumed for others. */
+  /** Assigns a source address to a zone; unregistered addresses belong to the zone `client`. */
   registerSource(host: string, zone: string): void {
     this.#zones.set(host, zone);
   }
 
-  /** Starts to forward an address. */
+  /** Starts to forward connections to an address. */
   async forward(route: Route): Promise<void> {
     const server = createServer((socket) => this.#accept(socket, route));
     this.#servers.push(server);
@@ -149,7 +149,7 @@
     this.#cuts.add(`${fromZone}>${toZone}`);
   }
 
-  /** Cuts a zone off from the others, both ways. */
+  /** Cuts the links between a zone and the other zones, in both directions. */
   isolate(zone: string, otherZones: readonly string[]): void {
     for (const other of otherZones) {
       if (other === zone) continue;
@@ -158,11 +158,12 @@
     }
   }
 
-  /** Ends all cuts and delays of single directions. */
+  /** Removes all cuts and all delays set with `setDelay`, and delivers held traffic. */
   heal(): void {
     this.#cuts.clear();
     this.#delays.clear();
-    for (const open of [...this.#unopened]) if (open()) this.#unopened.delete(open);
+    for (const tryConnect of [...this.#pendingConnects])
+      if (tryConnect()) this.#pendingConnects.delete(tryConnect);
     for (const flow of [...this.#flows]) this.#pump(flow);
   }
 
@@ -171,14 +172,14 @@
     return this.#cuts.has(`${fromZone}>${toZone}`);
   }
 
-  /** One-way delay between the zones. */
+  /** One-way delay from one zone to another: that of `setDelay`, else the zone latency. */
   delayMs(fromZone: string, toZone: string): number {
-    const own = this.#delays.get(`${fromZone}>${toZone}`);
-    if (own !== undefined) return own;
+    const directionDelayMs = this.#delays.get(`${fromZone}>${toZone}`);
+    if (directionDelayMs !== undefined) return directionDelayMs;
     return fromZone === toZone ? 0 : this.#zoneLatencyMs;
   }
 
-  /** Stops at once. */
+  /** Stops immediately and destroys all connections. */
   close(): void {
     for (const server of this.#servers) server.close();
     for (const socket of this.#sockets) socket.destroy();
@@ -188,16 +189,19 @@
     const fromZone = this.#zones.get(incoming.remoteAddress ?? '') ?? 'client';
     const outgoing = new Socket();
     const requests = new Flow(this, fromZone, route.zone, outgoing);
-    const replies = new Flow(this, route.zone, fromZone, incoming);
-    this.#join(incoming, outgoing, requests);
-    this.#join(outgoing, incoming, replies);
-    replies.release();
-    const open = (): boolean => this.#open(incoming, outgoing, requests, route, fromZone);
-    if (!open()) this.#unopened.add(open);
-  }
-
-  /** The target takes a connection once both ways are open, and hears of none whose caller has given it up before; false to try again. */
-  #open(incoming: Socket, outgoing: Socket, requests: Flow, route: Route, fromZone: string): boolean {
+    const responses = new Flow(this, route.zone, fromZone, incoming);
+    this.#pipe(incoming, outgoing, requests);
+    this.#pipe(outgoing, incoming, responses);
+    responses.startDelivery();
+    const tryConnect = (): boolean => this.#tryConnect(incoming, outgoing, requests, route, fromZone);
+    if (!tryConnect()) this.#pendingConnects.add(tryConnect);
+  }
+
+  /**
+   * Connects to the target once both directions are open; a connection that its caller has closed before then
+   * never reaches the target. Returns false while the attempt must be retried.
+   */
+  #tryConnect(incoming: Socket, outgoing: Socket, requests: Flow, route: Route, fromZone: string): boolean {
     if (incoming.destroyed) {
       outgoing.destroy();
       this.#flows.delete(requests);
@@ -205,11 +209,11 @@
     }
     if (this.isCut(fromZone, route.zone) || this.isCut(route.zone, fromZone)) return false;
     outgoing.connect({ host: route.targetHost, port: route.targetPort ?? route.port });
-    requests.release();
+    requests.startDelivery();
     return true;
   }
 
-  #join(source: Socket, sink: Socket, flow: Flow): void {
+  #pipe(source: Socket, sink: Socket, flow: Flow): void {
     this.#sockets.add(source);
     this.#flows.add(flow);
     source.setNoDelay(true);
@@ -227,6 +231,6 @@
 
   #pump(flow: Flow): void {
     flow.pump();
-    if (flow.isDelivered) this.#flows.delete(flow);
+    if (flow.isEndDelivered) this.#flows.delete(flow);
   }
 }
