--- a/standin/rig/child.ts
+++ b/standin/rig/child.ts
@@ -1,5 +1,6 @@
 /**
- * Starts, pauses and ends the processes of a test deployment. Only the rig starts processes, never the product.
+ * Starts, signals and kills the processes of a test deployment. Only the rig spawns processes, the product
+ * never does.
  *
  * @packageDocumentation
  */
@@ -7,14 +8,14 @@
 import { once } from 'node:events';
 import { fileURLToPath } from 'node:url';
 
-const SERVE_PROGRAM = fileURLToPath(new URL('../../src/cli/main.js', import.meta.url));
-const STANDIN_PROGRAM = fileURLToPath(new URL('../main.js', import.meta.url));
+const CLI_SCRIPT = fileURLToPath(new URL('../../src/cli/main.js', import.meta.url));
+const STANDIN_SCRIPT = fileURLToPath(new URL('../main.js', import.meta.url));
 const MAX_KEPT_LOG_CHARACTERS = 200_000;
 
-/** Which program a process runs. */
+/** Program that a process runs. */
 export type ProgramName = 'sorrelladder' | 'standin';
 
-/** A process of the deployment. */
+/** A child process of the deployment, with its captured output. */
 export class Child {
   readonly #process: ChildProcess;
   #log = '';
@@ -25,7 +26,7 @@
     program: ProgramName,
     args: readonly string[],
   ) {
-    const script = program === 'sorrelladder' ? SERVE_PROGRAM : STANDIN_PROGRAM;
+    const script = program === 'sorrelladder' ? CLI_SCRIPT : STANDIN_SCRIPT;
     this.#process = spawn(process.execPath, ['--enable-source-maps', script, ...args], {
       stdio: ['ignore', 'pipe', 'pipe'],
     });
@@ -35,17 +36,16 @@
     this.#process.stdout?.on('data', (data: Buffer) => (this.#output += data.toString()));
   }
 
-  /** Process id. */
   get pid(): number {
     return this.#process.pid ?? 0;
   }
 
-  /** What it wrote to standard error, the end of it. */
+  /** The last part of its standard error. */
   get log(): string {
     return this.#log;
   }
 
-  /** What it wrote to standard output. */
+  /** Its standard output. */
   get output(): string {
     return this.#output;
   }
@@ -55,12 +55,10 @@
     return this.#process.exitCode;
   }
 
-  /** True while the process runs. */
   get isRunning(): boolean {
     return this.#process.exitCode === null && this.#process.signalCode === null;
   }
 
-  /** Sends a signal. */
   signal(name: NodeJS.Signals): void {
     if (this.isRunning) this.#process.kill(name);
   }
@@ -71,7 +69,7 @@
     return this.#process.exitCode;
   }
 
-  /** Kills the process and waits until it is gone. */
+  /** Kills the process, also one that is stopped by SIGSTOP, and waits for its exit. */
   async kill(): Promise<void> {
     this.signal('SIGCONT');
     this.signal('SIGKILL');
--- a/standin/rig/deployment.ts
+++ b/standin/rig/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment as real processes on loopback: store, machine list, database groups and daemons, each with
- * an IP number of its own and a fault proxy before it.
+ * Runs a complete deployment as separate processes on loopback: store, machine list, database groups and
+ * daemons, each with its own IP address and reached through a fault proxy.
  *
  * @packageDocumentation
  */
@@ -20,18 +20,18 @@
 import { FaultProxy } from './fault-proxy.js';
 import { waitUntil } from './wait-until.js';
 
-/** What a deployment consists of. */
+/** Size, settings and network delays of a deployment. */
 export interface DeploymentOptions {
-  /** Second number of all its addresses, 1 to 250: deployments that run at once need different ones. */
+  /** Second octet of all addresses, 1 to 250; must differ between deployments that run concurrently. */
   readonly networkId: number;
   readonly zones: readonly string[];
   readonly databases: readonly string[];
   readonly daemonsPerZone: number;
   readonly connectionLimit: number;
   readonly slots: number;
-  /** Members are spread over the zones in order. */
+  /** Members are assigned to the zones round-robin. */
   readonly membersPerDatabase: number;
-  readonly member: Partial<Pick<MemberServerOptions, MemberTuning>>;
+  readonly member: Partial<Pick<MemberServerOptions, MemberOverride>>;
   readonly policy: string;
   /** Settings of the daemons' `timing` and `limits` that differ from the defaults. */
   readonly timing: Readonly<Record<string, number>>;
@@ -39,11 +39,11 @@
   readonly machineListLagMs: number;
   /** One-way delay between zones, in milliseconds. */
   readonly zoneLatencyMs: number;
-  /** False puts no proxies before the processes, for measurements of speed. */
+  /** False connects the processes directly, for performance measurements. */
   readonly usesProxies: boolean;
 }
 
-type MemberTuning =
+type MemberOverride =
   | 'openDelayMs'
   | 'serviceTimeMs'
   | 'replication'
@@ -86,16 +86,16 @@
 const PEER_PORT = 7432;
 const HTTP_PORT = 8432;
 
-/** Host number of the platform's machines: above all others. */
-const PLATFORM_HOST = 200;
+/** Last octet of the address of the store and the machine list; higher than those of members and daemons. */
+const PLATFORM_HOST_NUMBER = 200;
 
-/** A process with its addresses. */
-export interface RigProcess {
+/** Zone and addresses of a process. */
+export interface ProcessPlacement {
   readonly id: string;
   readonly zone: string;
-  /** Address on which the process listens and from which it connects. */
+  /** Address on which the process listens and from which it connects to others. */
   readonly host: string;
-  /** Address under which the others reach it. */
+  /** Address at which other processes reach it: that of its fault proxy, if there is one. */
   readonly publicHost: string;
 }
 
@@ -103,8 +103,8 @@
 export class Deployment {
   readonly proxy = new FaultProxy();
   readonly options: DeploymentOptions;
-  readonly members = new Map<string, RigProcess>();
-  readonly daemons = new Map<string, RigProcess>();
+  readonly members = new Map<string, ProcessPlacement>();
+  readonly daemons = new Map<string, ProcessPlacement>();
   readonly children = new Map<string, Child>();
   readonly #directory = mkdtempSync(join(tmpdir(), 'sorrelladder-rig-'));
   #machines: Machine[] = [];
@@ -126,39 +126,38 @@
     return deployment;
   }
 
-  /** Zones of the deployment. */
   get zones(): readonly string[] {
     return this.options.zones;
   }
 
-  /** The configuration in the store, past all faults. */
+  /** Client of the configuration in the store that bypasses the fault proxies. */
   get configurationStore(): ConfigurationStore {
     const client = new StoreClient({ baseUrl: this.#storeUrl, localAddress: null, timeoutMs: 2000 });
     return new ConfigurationStore(client, '/sorrelladder');
   }
 
-  /** Publishes a change directly. */
+  /** Publishes a configuration change, bypassing the fault proxies. */
   async publish(change: ConfigurationChange): Promise<number> {
     const options = { publishedBy: 'rig', expectedVersion: null, readBackAttempts: 3 };
     const result = await this.configurationStore.publish(change, options);
     return result.unsafeCoerce().version;
   }
 
-  /** Address of a daemon for clients. */
+  /** Address on which a daemon accepts clients. */
   clientAddress(daemonId: string): { readonly host: string; readonly port: number } {
-    return { host: this.#daemon(daemonId).host, port: CLIENT_PORT };
+    return { host: this.#daemonPlacement(daemonId).host, port: CLIENT_PORT };
   }
 
-  /** Address of a member for direct connections. */
+  /** Address of a member that bypasses its fault proxy. */
   memberAddress(memberId: string): { readonly host: string; readonly port: number } {
     const member = this.members.get(memberId);
     if (member === undefined) throw new Error(`no member ${memberId}`);
     return { host: member.host, port: MEMBER_PORT };
   }
 
-  /** A daemon's own account of itself. */
+  /** Fetches the status that a daemon reports. */
   async status(daemonId: string): Promise<DaemonStatus> {
-    const baseUrl = `http://${this.#daemon(daemonId).host}:${HTTP_PORT}`;
+    const baseUrl = `http://${this.#daemonPlacement(daemonId).host}:${HTTP_PORT}`;
     return (await requestJson(
       { baseUrl, localAddress: null, timeoutMs: 2000 },
       'GET',
@@ -168,21 +167,21 @@
 
   /** Address of a daemon's HTTP server. */
   httpUrl(daemonId: string): string {
-    return `http://${this.#daemon(daemonId).host}:${HTTP_PORT}`;
+    return `http://${this.#daemonPlacement(daemonId).host}:${HTTP_PORT}`;
   }
 
-  /** The daemon that owns a database by its own account, or `null`. */
+  /** The daemon whose status reports the members of a database, which only its owner does; or `null`. */
   async findOwner(database: string): Promise<string | null> {
     for (const daemonId of this.daemons.keys()) {
       if (!this.child(daemonId).isRunning) continue;
       const status = await this.status(daemonId).catch(() => null);
-      const own = status?.databases.find(({ name }) => name === database);
-      if (own !== undefined && own.members.length > 0) return daemonId;
+      const databaseStatus = status?.databases.find(({ name }) => name === database);
+      if (databaseStatus !== undefined && databaseStatus.members.length > 0) return daemonId;
     }
     return null;
   }
 
-  /** Waits until a database has an owner. */
+  /** Waits until a daemon other than `except` owns a database. */
   async waitForOwner(database: string, except: string | null = null): Promise<string> {
     let owner: string | null = null;
     await waitUntil(`an owner of ${database}`, async () => {
@@ -192,7 +191,7 @@
     return owner ?? '';
   }
 
-  /** Id of the member that leads, as the owner sees it; `null` during an election. */
+  /** Id of the primary of the highest term, as the owner reports it; `null` during an election. */
   async findPrimary(database: string): Promise<string | null> {
     const owner = await this.findOwner(database);
     if (owner === null) return null;
@@ -202,17 +201,17 @@
     return members.find((member) => member.role === 'primary' && member.term === term)?.id ?? null;
   }
 
-  /** A process by id. */
+  /** Looks up a process by id. */
   child(id: string): Child {
     const child = this.children.get(id);
     if (child === undefined) throw new Error(`no process ${id}`);
     return child;
   }
 
-  /** Switches faults of the store. */
+  /** Enables or disables faults of the store. */
   async setStoreFaults(faults: Partial<StoreFaults>): Promise<void> {
     const http = {
-      baseUrl: `http://${this.#host(0, PLATFORM_HOST)}:${STORE_PORT}`,
+      baseUrl: `http://${this.#host(0, PLATFORM_HOST_NUMBER)}:${STORE_PORT}`,
       localAddress: null,
       timeoutMs: 2000,
     };
@@ -225,13 +224,13 @@
     await this.#publishMachines();
   }
 
-  /** Starts a daemon that was ended, under the same id and address. */
+  /** Starts a stopped daemon again with the same id and address. */
   startDaemon(daemonId: string): void {
     const path = join(this.#directory, `${daemonId}.yaml`);
     this.children.set(daemonId, new Child(daemonId, 'sorrelladder', ['serve', '--settings', path]));
   }
 
-  /** Starts a daemon that was ended and waits until it serves. */
+  /** Starts a stopped daemon again and waits until it has a configuration and peers. */
   async restartDaemon(daemonId: string): Promise<void> {
     this.startDaemon(daemonId);
     await waitUntil(`${daemonId} to serve`, async () => {
@@ -240,7 +239,7 @@
     });
   }
 
-  /** Ends all processes. */
+  /** Kills all processes, closes the proxies and removes the settings files. */
   async stop(): Promise<void> {
     await Promise.all([...this.children.values()].map((child) => child.kill()));
     this.proxy.close();
@@ -248,20 +247,20 @@
   }
 
   get #storeUrl(): string {
-    return `http://${this.#host(0, PLATFORM_HOST)}:${STORE_PORT}`;
+    return `http://${this.#host(0, PLATFORM_HOST_NUMBER)}:${STORE_PORT}`;
   }
 
   async #start(): Promise<void> {
-    this.#layOut();
+    this.#assignAddresses();
     await this.#startPlatform();
     await this.#startMembers();
     await this.publish({ databases: this.#databases(), policy: this.options.policy });
     await this.#startDaemons();
     for (const database of this.options.databases) await this.waitForOwner(database);
-    await waitUntil('all daemons know all databases and owners', () => this.#isSettled());
+    await waitUntil('all daemons know all databases and owners', () => this.#isConverged());
   }
 
-  async #isSettled(): Promise<boolean> {
+  async #isConverged(): Promise<boolean> {
     for (const daemonId of this.daemons.keys()) {
       const status = await this.status(daemonId).catch(() => null);
       if (status === null || status.databases.length < this.options.databases.length) return false;
@@ -273,30 +272,31 @@
     return true;
   }
 
-  #host(zoneIndex: number, number: number): string {
-    return `127.${this.options.networkId}.${zoneIndex}.${number}`;
+  /** Address in one of the deployment's networks: per zone, an even one for processes, the next for proxies. */
+  #host(network: number, hostNumber: number): string {
+    return `127.${this.options.networkId}.${network}.${hostNumber}`;
   }
 
-  #layOut(): void {
+  #assignAddresses(): void {
     const { zones, databases, daemonsPerZone, membersPerDatabase } = this.options;
-    const used = new Map<number, number>();
-    const place = (id: string, zoneIndex: number): RigProcess => {
-      const number = (used.get(zoneIndex) ?? 0) + 1;
-      used.set(zoneIndex, number);
-      const host = this.#host(zoneIndex * 2, number);
-      const publicHost = this.options.usesProxies ? this.#host(zoneIndex * 2 + 1, number) : host;
+    const lastHostNumbers = new Map<number, number>();
+    const assign = (id: string, zoneIndex: number): ProcessPlacement => {
+      const hostNumber = (lastHostNumbers.get(zoneIndex) ?? 0) + 1;
+      lastHostNumbers.set(zoneIndex, hostNumber);
+      const host = this.#host(zoneIndex * 2, hostNumber);
+      const publicHost = this.options.usesProxies ? this.#host(zoneIndex * 2 + 1, hostNumber) : host;
       return { id, zone: zones[zoneIndex] ?? '', host, publicHost };
     };
     databases.forEach((database, databaseIndex) => {
       for (let i = 0; i < membersPerDatabase; i += 1) {
         const id = `${database}-${i + 1}`;
-        this.members.set(id, place(id, (databaseIndex + i) % zones.length));
+        this.members.set(id, assign(id, (databaseIndex + i) % zones.length));
       }
     });
     zones.forEach((zone, zoneIndex) => {
       for (let i = 0; i < daemonsPerZone; i += 1) {
         const id = `${zone}-d${i + 1}`;
-        this.daemons.set(id, place(id, zoneIndex));
+        this.daemons.set(id, assign(id, zoneIndex));
       }
     });
     for (const { host, zone } of [...this.members.values(), ...this.daemons.values()])
@@ -304,10 +304,10 @@
   }
 
   async #startPlatform(): Promise<void> {
-    const host = this.#host(0, PLATFORM_HOST);
+    const host = this.#host(0, PLATFORM_HOST_NUMBER);
     this.#machines = [
-      ...[...this.daemons.values()].map((daemon) => this.#machine(daemon, 'daemon', PEER_PORT)),
-      ...[...this.members.values()].map((member) => this.#machine(member, 'member', MEMBER_PORT)),
+      ...[...this.daemons.values()].map((daemon) => this.#machineEntry(daemon, 'daemon', PEER_PORT)),
+      ...[...this.members.values()].map((member) => this.#machineEntry(member, 'member', MEMBER_PORT)),
     ];
     const lag = [
       '--lag-ms',
@@ -317,11 +317,14 @@
     ];
     this.#spawnStandin('store', ['store', '--host', host, '--port', String(STORE_PORT)]);
     this.#spawnStandin('machines', ['machines', '--host', host, '--port', String(MACHINES_PORT), ...lag]);
-    await this.#forward('platform', this.#host(1, PLATFORM_HOST), host, [STORE_PORT, MACHINES_PORT]);
+    await this.#startProxies('platform', this.#host(1, PLATFORM_HOST_NUMBER), host, [
+      STORE_PORT,
+      MACHINES_PORT,
+    ]);
     await this.#waitReady(['store', 'machines']);
   }
 
-  #machine({ id, zone, publicHost }: RigProcess, kind: Machine['kind'], port: number): Machine {
+  #machineEntry({ id, zone, publicHost }: ProcessPlacement, kind: Machine['kind'], port: number): Machine {
     return { id, kind, zone, host: publicHost, port, state: 'live' };
   }
 
@@ -329,7 +332,7 @@
     for (const database of this.options.databases) {
       const group = [...this.members.values()].filter(({ id }) => id.startsWith(`${database}-`));
       for (const [rank, member] of group.entries()) {
-        await this.#forward(member.zone, member.publicHost, member.host, [MEMBER_PORT, GROUP_PORT]);
+        await this.#startProxies(member.zone, member.publicHost, member.host, [MEMBER_PORT, GROUP_PORT]);
         const options = JSON.stringify(this.#memberOptions(database, group, member, rank));
         this.#spawnStandin(member.id, ['member', '--options', options]);
       }
@@ -339,8 +342,8 @@
 
   #memberOptions(
     database: string,
-    group: readonly RigProcess[],
-    member: RigProcess,
+    group: readonly ProcessPlacement[],
+    member: ProcessPlacement,
     rank: number,
   ): MemberServerOptions {
     const peers = group.filter(({ id }) => id !== member.id);
@@ -363,14 +366,14 @@
 
   async #startDaemons(): Promise<void> {
     for (const daemon of this.daemons.values()) {
-      await this.#forward(daemon.zone, daemon.publicHost, daemon.host, [PEER_PORT]);
+      await this.#startProxies(daemon.zone, daemon.publicHost, daemon.host, [PEER_PORT]);
       writeFileSync(join(this.#directory, `${daemon.id}.yaml`), toYaml(this.#daemonSettings(daemon)));
       this.startDaemon(daemon.id);
     }
   }
 
-  #daemonSettings(daemon: RigProcess): Readonly<Record<string, unknown>> {
-    const platformHost = this.#host(this.options.usesProxies ? 1 : 0, PLATFORM_HOST);
+  #daemonSettings(daemon: ProcessPlacement): Readonly<Record<string, unknown>> {
+    const platformHost = this.#host(this.options.usesProxies ? 1 : 0, PLATFORM_HOST_NUMBER);
     return {
       daemon: { id: daemon.id, zone: daemon.zone },
       listen: {
@@ -399,7 +402,7 @@
     }));
   }
 
-  async #forward(
+  async #startProxies(
     zone: string,
     listenHost: string,
     targetHost: string,
@@ -421,14 +424,14 @@
 
   async #publishMachines(): Promise<void> {
     const http = {
-      baseUrl: `http://${this.#host(0, PLATFORM_HOST)}:${MACHINES_PORT}`,
+      baseUrl: `http://${this.#host(0, PLATFORM_HOST_NUMBER)}:${MACHINES_PORT}`,
       localAddress: null,
       timeoutMs: 2000,
     };
     await requestJson(http, 'POST', '/standin/machines', this.#machines);
   }
 
-  #daemon(daemonId: string): RigProcess {
+  #daemonPlacement(daemonId: string): ProcessPlacement {
     const daemon = this.daemons.get(daemonId);
     if (daemon === undefined) throw new Error(`no daemon ${daemonId}`);
     return daemon;
