--- a/standin/local-main.ts
+++ b/standin/local-main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * An embedded deployment for a first look: store, machine list, one database group and two daemons in one
- * process.
+ * Embedded deployment for trying out sorrelladder: store, machine list, one database group and two daemons in
+ * one process.
  *
  * @packageDocumentation
  */
@@ -34,7 +34,7 @@
     expect: { replica: false, repeatable: false }
 `;
 
-/** Ports of the deployment, counted from one base. */
+/** Ports of the deployment, as offsets from a base port. */
 class Ports {
   constructor(private readonly base: number) {}
   client = (index: number): number => this.base + index;
--- a/standin/machines/machines-server.ts
+++ b/standin/machines/machines-server.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of the platform's list of live and leaving machines, which lags behind its own changes.
+ * Stand-in for the platform's list of live and leaving machines, which publishes changes with a delay.
  *
  * @packageDocumentation
  */
@@ -12,13 +12,13 @@
   readonly visibleAtMs: number;
 }
 
-/** The list as an HTTP server: `GET /v1/machines`, `POST /standin/machines` to change it. */
+/** HTTP server of the list: `GET /v1/machines` reads it, `POST /standin/machines` replaces it. */
 export class MachinesServer {
   readonly #server: Server;
   #pending: PendingList[] = [];
   #visible: readonly Machine[] = [];
 
-  /** @param lagMs - time until a change is seen, in milliseconds */
+  /** @param lagMs - delay before a change becomes visible, in milliseconds */
   constructor(private readonly lagMs: number) {
     this.#server = createServer((request, response) => {
       const chunks: Buffer[] = [];
@@ -26,33 +26,32 @@
       request.on('end', () => {
         if (request.method === 'POST')
           this.setMachines(JSON.parse(Buffer.concat(chunks).toString()) as Machine[]);
-        const body = JSON.stringify({ machines: this.#current() });
+        const body = JSON.stringify({ machines: this.#visibleMachines() });
         const etag = `"${createHash('sha1').update(body).digest('hex')}"`;
-        const isKnown = request.headers['if-none-match'] === etag;
-        response.writeHead(isKnown ? 304 : 200, { 'content-type': 'application/json', etag });
-        response.end(isKnown ? undefined : body);
+        const isUnchanged = request.headers['if-none-match'] === etag;
+        response.writeHead(isUnchanged ? 304 : 200, { 'content-type': 'application/json', etag });
+        response.end(isUnchanged ? undefined : body);
       });
     });
   }
 
-  /** Changes the list; the first list is seen at once. */
+  /** Replaces the list; the first list is visible immediately. */
   setMachines(machines: readonly Machine[]): void {
     if (this.#visible.length === 0) this.#visible = machines;
     this.#pending.push({ machines, visibleAtMs: Date.now() + this.lagMs });
   }
 
-  /** Starts to listen. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve) => this.#server.listen(port, host, () => resolve()));
   }
 
-  /** Stops at once. */
+  /** Closes all connections and stops. */
   async close(): Promise<void> {
     this.#server.closeAllConnections();
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
-  #current(): readonly Machine[] {
+  #visibleMachines(): readonly Machine[] {
     while (this.#pending[0] !== undefined && this.#pending[0].visibleAtMs <= Date.now()) {
       this.#visible = this.#pending.shift()?.machines ?? this.#visible;
     }
--- a/standin/main.ts
+++ b/standin/main.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * The stand-ins as processes: `member`, `store`, `machines`. For tests and experiments only.
+ * Command line that runs one stand-in as a process: `member`, `store` or `machines`. For tests and
+ * experiments only.
  *
  * @packageDocumentation
  */
--- a/standin/store/store-server.ts
+++ b/standin/store/store-server.ts
@@ -1,22 +1,23 @@
 /**
- * Stand-in of the platform's store: the parts of etcd's JSON gateway that are used, with faults on demand.
+ * Stand-in for the platform's store: the endpoints of etcd's JSON gateway that are used, with injectable
+ * faults.
  *
  * @packageDocumentation
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { StoreState, type StoredKey } from './store-state.js';
 
-/** Faults that a test can switch on with `POST /standin/faults`. */
+/** Faults that a test enables with `POST /standin/faults`. */
 export interface StoreFaults {
-  /** Connections are ended without an answer. */
+  /** Closes connections without a response. */
   down: boolean;
-  /** Delay before each answer, in milliseconds. */
+  /** Delay before each response, in milliseconds. */
   delayMs: number;
-  /** This many changes take effect, but their answers are lost. */
+  /** Number of writes that take effect but whose responses are lost. */
   loseAnswers: number;
-  /** Reads answer from the state as it was when this was switched on. */
+  /** Reads return a range's first result after the last change of faults, without later writes. */
   staleReads: boolean;
-  /** Requests a second before the store answers 429; 0 for no limit. */
+  /** Requests per second above which the store responds with 429; 0 for no limit. */
   rateLimit: number;
 }
 
@@ -30,7 +31,7 @@
   readonly success?: readonly { readonly request_put?: { readonly key: string; readonly value: string } }[];
 }
 
-/** The store as an HTTP server. */
+/** HTTP server of the store. */
 export class StoreServer {
   readonly state = new StoreState();
   readonly faults: StoreFaults = { down: false, delayMs: 0, loseAnswers: 0, staleReads: false, rateLimit: 0 };
@@ -43,18 +44,17 @@
     this.#server = createServer((request, response) => void this.#handle(request, response));
   }
 
-  /** Starts to listen. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve) => this.#server.listen(port, host, () => resolve()));
   }
 
-  /** Stops at once. */
+  /** Closes all connections and stops. */
   async close(): Promise<void> {
     this.#server.closeAllConnections();
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
-  /** Switches faults. */
+  /** Changes the faults and discards the snapshot for stale reads; `down` also closes open watches. */
   setFaults(change: Partial<StoreFaults>): void {
     Object.assign(this.faults, change);
     this.#snapshot = new Map();
@@ -66,7 +66,7 @@
     const path = request.url ?? '';
     if (path === '/standin/faults') {
       this.setFaults(body as Partial<StoreFaults>);
-      answer(response, 200, this.faults);
+      respond(response, 200, this.faults);
       return;
     }
     if (this.faults.down) {
@@ -74,7 +74,7 @@
       return;
     }
     if (this.#isOverLimit()) {
-      answer(response, 429, { error: 'too many requests' });
+      respond(response, 429, { error: 'too many requests' });
       return;
     }
     if (this.faults.delayMs > 0) await new Promise((resolve) => setTimeout(resolve, this.faults.delayMs));
@@ -99,7 +99,7 @@
         break;
       case '/v3/kv/put':
         this.state.put([body as unknown as { key: string; value: string; lease?: string }]);
-        this.#answerChange(response, {});
+        this.#respondToWrite(response, {});
         break;
       case '/v3/watch':
         this.#watch(body['create_request'] as { key: string }, response);
@@ -107,16 +107,16 @@
       case '/v3/lease/grant': {
         const id = String(body['ID'] ?? this.state.revision + 1000);
         this.state.grantLease(id, Number(body['TTL']));
-        this.#answerChange(response, { ID: id, TTL: String(body['TTL']) });
+        this.#respondToWrite(response, { ID: id, TTL: String(body['TTL']) });
         break;
       }
       case '/v3/lease/keepalive': {
         const isAlive = this.state.keepAlive(String(body['ID']));
-        answer(response, 200, { result: { ID: body['ID'], TTL: isAlive ? '1' : '0' } });
+        respond(response, 200, { result: { ID: body['ID'], TTL: isAlive ? '1' : '0' } });
         break;
       }
       default:
-        answer(response, 404, { error: 'not found' });
+        respond(response, 404, { error: 'not found' });
     }
   }
 
@@ -127,7 +127,7 @@
     const cacheKey = `${key} ${rangeEnd ?? ''}`;
     if (!this.#snapshot.has(cacheKey)) this.#snapshot.set(cacheKey, current);
     const kvs = this.faults.staleReads ? (this.#snapshot.get(cacheKey) ?? current) : current;
-    answer(response, 200, { header: this.#header(), kvs, count: String(kvs.length) });
+    respond(response, 200, { header: this.#header(), kvs, count: String(kvs.length) });
   }
 
   #transaction(body: TransactionBody, response: ServerResponse): void {
@@ -141,16 +141,16 @@
       );
       this.state.put(puts);
     }
-    this.#answerChange(response, { succeeded });
+    this.#respondToWrite(response, { succeeded });
   }
 
-  #answerChange(response: ServerResponse, body: Record<string, unknown>): void {
+  #respondToWrite(response: ServerResponse, body: Record<string, unknown>): void {
     if (this.faults.loseAnswers > 0) {
       this.faults.loseAnswers -= 1;
       response.destroy();
       return;
     }
-    answer(response, 200, { header: this.#header(), ...body });
+    respond(response, 200, { header: this.#header(), ...body });
   }
 
   #watch(request: { key: string }, response: ServerResponse): void {
@@ -180,7 +180,7 @@
   return text === '' ? {} : (JSON.parse(text) as Record<string, unknown>);
 }
 
-function answer(response: ServerResponse, status: number, body: unknown): void {
+function respond(response: ServerResponse, status: number, body: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' });
   response.end(JSON.stringify(body));
 }
--- a/standin/store/store-state.ts
+++ b/standin/store/store-state.ts
@@ -1,11 +1,11 @@
 /**
- * Keys, revisions and leases of the store stand-in.
+ * In-memory keys, revisions and leases of the store stand-in.
  *
  * @packageDocumentation
  */
 import { EventEmitter } from 'node:events';
 
-/** A key as the interface shows it; numbers are strings, as in the JSON gateway. */
+/** A key as in responses of etcd's JSON gateway, which encodes numbers as strings. */
 export interface StoredKey {
   readonly key: string;
   readonly value: string;
@@ -14,7 +14,7 @@
   readonly version: string;
 }
 
-/** Keys in memory, with one revision for each change. */
+/** Versioned keys; each write increments the store revision and emits `put` for each key. */
 export class StoreState extends EventEmitter {
   readonly #keys = new Map<string, StoredKey>();
   readonly #leases = new Map<
@@ -28,7 +28,7 @@
     this.setMaxListeners(0);
   }
 
-  /** One key, or the keys in a range, in order. Keys are in base64. */
+  /** One key, or the keys from `key` up to, not including, `rangeEnd`, in byte order. Keys are in base64. */
   range(key: string, rangeEnd: string | undefined): StoredKey[] {
     this.#expireLeases();
     if (rangeEnd === undefined) {
@@ -45,7 +45,7 @@
       .sort((left, right) => Buffer.from(left.key, 'base64').compare(Buffer.from(right.key, 'base64')));
   }
 
-  /** Changes keys at one revision. */
+  /** Writes keys at one new revision, attaching them to their leases. */
   put(changes: readonly { readonly key: string; readonly value: string; readonly lease?: string }[]): void {
     this.revision += 1;
     for (const { key, value, lease } of changes) {
@@ -63,13 +63,13 @@
     }
   }
 
-  /** Makes a lease. */
+  /** Grants a lease. */
   grantLease(id: string, ttlSeconds: number): void {
     const ttlMs = ttlSeconds * 1000;
     this.#leases.set(id, { ttlMs, expiresAtMs: Date.now() + ttlMs, keys: new Set() });
   }
 
-  /** Extends a lease; false when it has lapsed. */
+  /** Renews a lease; false when it has expired. */
   keepAlive(id: string): boolean {
     this.#expireLeases();
     const lease = this.#leases.get(id);
