--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -139,7 +139,7 @@
   readonly answer: ConfigurationLeaseReply;
 }
 
-/** Requests a grant of operations from a tenant's quota home or its stand-in. */
+/** Requests a grant of operations from a tenant's home or its backup. */
 export interface GrantRequestMessage {
   readonly type: 'ask_grant';
   readonly id: number;
--- a/src/relay/relay-daemon.ts
+++ b/src/relay/relay-daemon.ts
@@ -410,7 +410,7 @@
 
   /**
    * Stops granting quotas before a shutdown, but only while the daemons still settle after a store outage.
-   * Normally a quota owner that stops goes on granting until every daemon has seen its lease end. After an
+   * Normally the home of a tenant that stops goes on granting until every daemon has seen its lease end. After an
    * outage some daemons have seen it and others will not for seconds, so two owners would grant the same
    * quota. Doing this on every shutdown refused tenants operations within their quota (380 refusals instead
    * of 253 in 8 s of successive shutdowns).
