--- a/src/relay/shutdown-schedule.test.ts
+++ b/src/relay/shutdown-schedule.test.ts
@@ -5,10 +5,10 @@
 test('a shutdown closes idle sessions, then stops statements, then ends all requests before the kill', () => {
   const plan = scheduleShutdown(1000, 6000);
   assert.deepEqual(plan, {
-    drainAtMs: 3200,
-    lastStatementAtMs: 5200,
-    lastAnswerAtMs: 6100,
-    exitAtMs: 6640,
+    drainStartMs: 3200,
+    statementCutoffMs: 5200,
+    replyDeadlineMs: 6100,
+    exitDeadlineMs: 6640,
   });
 });
 
