--- a/bench/experiment/closed-loop.ts
+++ b/bench/experiment/closed-loop.ts
@@ -1,12 +1,12 @@
 /**
- * Clients that ask again as soon as they are answered.
+ * Closed-loop clients: each sends its next statement after the answer to the previous one and the think time.
  *
  * @packageDocumentation
  */
 import pg from 'pg';
 import { summariseLatency, type LatencySummary } from './latency.js';
 
-/** What the clients did. */
+/** Throughput, latencies and refusals of all clients. */
 export interface ClosedLoopResult {
   readonly perSecond: number;
   readonly latency: LatencySummary;
@@ -22,12 +22,12 @@
   readonly database: string;
   readonly clients: number;
   readonly durationMs: number;
-  /** Pause between an answer and the next question, in milliseconds. */
+  /** Pause between an answer and the next statement, in milliseconds. */
   readonly thinkTimeMs: number;
-  readonly textOf: (client: number, round: number) => string;
+  readonly statementText: (client: number, round: number) => string;
 }
 
-/** Runs the clients. */
+/** Runs the clients concurrently for `durationMs`. */
 export async function runClosedLoop(options: ClosedLoopOptions): Promise<ClosedLoopResult> {
   const latencies: number[] = [];
   const refusals: { readonly latencyMs: number; readonly hasRetryAfter: boolean }[] = [];
@@ -39,7 +39,7 @@
     for (let round = 0; performance.now() < endMs; round += 1) {
       const startedMs = performance.now();
       try {
-        await client.query(options.textOf(number, round));
+        await client.query(options.statementText(number, round));
         latencies.push(performance.now() - startedMs);
       } catch (error) {
         const { hint } = error as { hint?: string };
--- a/bench/experiment/deployments.ts
+++ b/bench/experiment/deployments.ts
@@ -1,5 +1,5 @@
 /**
- * The two deployments of the users, from their brief.
+ * The two reference deployments that the users specified.
  *
  * @packageDocumentation
  */
@@ -8,7 +8,10 @@
 /** Names of the deployments. */
 export type DeploymentName = 'lahore' | 'cairo';
 
-/** Policy of the experiments: lookups may go to replicas, `important` goes first. */
+/**
+ * Policy of the experiments: lookups may be served by replicas, and class `important` has the highest
+ * priority.
+ */
 export const EXPERIMENT_POLICY = `
 rules:
   - name: lookups
--- a/bench/experiment/election-watch.ts
+++ b/bench/experiment/election-watch.ts
@@ -1,16 +1,20 @@
 /**
- * Watches the members of a deployment directly, past daemons and proxies, for the first primary of a new term.
+ * Polls the members of a deployment directly, without daemons and proxies, to detect the first primary of a
+ * new term.
  *
  * @packageDocumentation
  */
 import pg from 'pg';
 import type { Deployment } from '../../standin/rig/deployment.js';
 
-const POLL_MS = 5;
+const POLL_INTERVAL_MS = 5;
 
-/** A watch that runs until it is stopped. */
+/** Polls the members until it is stopped. */
 export interface ElectionWatch {
-  /** Monotonic time of the first new primary, in milliseconds, or `null`. */
+  /**
+   * Stops polling. Returns the monotonic time at which a new primary was first seen, in milliseconds, or
+   * `null`.
+   */
   stop(): number | null;
 }
 
@@ -19,7 +23,7 @@
   readonly term: string;
 }
 
-/** Starts to watch the database `first`; resolves once the term at the start is known. */
+/** Starts polling the members of the database `first`; resolves once the initial term is known. */
 export async function watchElection(deployment: Deployment): Promise<ElectionWatch> {
   let isStopped = false;
   let electedMs: number | null = null;
@@ -27,25 +31,25 @@
   const status = await deployment.status(owner);
   const firstTerm = status.databases.find(({ name }) => name === 'first')?.term ?? 0;
   const group = [...deployment.members.keys()].filter((id) => id.startsWith('first-'));
-  const see = ({ role, term }: Status): void => {
+  const recordStatus = ({ role, term }: Status): void => {
     if (role === 'primary' && Number(term) > firstTerm) electedMs ??= performance.now();
   };
-  const watchOne = async (memberId: string): Promise<void> => {
+  const pollMember = async (memberId: string): Promise<void> => {
     const client = new pg.Client({ ...deployment.memberAddress(memberId), database: 'first', user: 'watch' });
     client.on('error', () => undefined);
     try {
       await client.connect();
       while (!isStopped) {
         const result = await client.query<Status>('SELECT * FROM sorrelladder_group_status()');
-        for (const row of result.rows) see(row);
-        await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+        for (const row of result.rows) recordStatus(row);
+        await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
       }
     } catch {
-      // A member that is killed ends its watch.
+      // Polling of a member ends when the member is killed.
     }
     await client.end().catch(() => undefined);
   };
-  for (const memberId of group) void watchOne(memberId);
+  for (const memberId of group) void pollMember(memberId);
   return {
     stop: () => {
       isStopped = true;
--- a/bench/experiment/failover-probe.ts
+++ b/bench/experiment/failover-probe.ts
@@ -1,22 +1,23 @@
 /**
- * Writes to one database through every daemon that a fault leaves in reach, to see how long no write lands.
+ * Measures the write outage of a failover: writes to one database through every daemon that stays reachable
+ * during the fault.
  *
  * @packageDocumentation
  */
 import pg from 'pg';
 import type { Deployment } from '../../standin/rig/deployment.js';
 
-const PAUSE_MS = 5;
-const RETRY_MS = 20;
+const WRITE_INTERVAL_MS = 5;
+const RECONNECT_DELAY_MS = 20;
 
-interface Landed {
+interface SuccessfulWrite {
   readonly startedMs: number;
   readonly endedMs: number;
 }
 
-/** Probes that run until they are stopped. */
+/** Runs probes until it is stopped. */
 export class FailoverProbe {
-  readonly #landed: Landed[] = [];
+  readonly #successfulWrites: SuccessfulWrite[] = [];
   readonly #probes: Promise<void>[] = [];
   #isStopped = false;
 
@@ -32,9 +33,14 @@
     }
   }
 
-  /** Time from the fault to the first write asked after it that landed, in milliseconds; infinite for none. */
+  /**
+   * Time from the fault to the first successful write that started after it, in milliseconds; infinity for
+   * none.
+   */
   gapMs(faultMs: number): number {
-    const ends = this.#landed.filter(({ startedMs }) => startedMs >= faultMs).map(({ endedMs }) => endedMs);
+    const ends = this.#successfulWrites
+      .filter(({ startedMs }) => startedMs >= faultMs)
+      .map(({ endedMs }) => endedMs);
     return Math.min(...ends) - faultMs;
   }
 
@@ -56,7 +62,7 @@
         await client.connect();
         for (; !this.#isStopped; round += 1) await this.#write(client, daemonId, round);
       } catch {
-        await new Promise((resolve) => setTimeout(resolve, RETRY_MS));
+        await new Promise((resolve) => setTimeout(resolve, RECONNECT_DELAY_MS));
       }
       await client.end().catch(() => undefined);
     }
@@ -67,7 +73,7 @@
     await client.query(
       `INSERT INTO record VALUES ('probe-${daemonId}', ${round}) ON CONFLICT (key) DO UPDATE SET version = excluded.version`,
     );
-    this.#landed.push({ startedMs, endedMs: performance.now() });
-    await new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
+    this.#successfulWrites.push({ startedMs, endedMs: performance.now() });
+    await new Promise((resolve) => setTimeout(resolve, WRITE_INTERVAL_MS));
   }
 }
--- a/bench/experiment/latency.ts
+++ b/bench/experiment/latency.ts
@@ -1,5 +1,5 @@
 /**
- * Latencies in an HDR histogram.
+ * Percentiles of latencies, computed with an HDR histogram.
  *
  * @packageDocumentation
  */
@@ -15,7 +15,7 @@
 
 const MICROSECONDS_PER_MS = 1000;
 
-/** Sums latencies up, at a resolution of a microsecond. */
+/** Summarises latencies at a resolution of one microsecond. */
 export function summariseLatency(latenciesMs: readonly number[]): LatencySummary {
   const histogram = build({
     lowestDiscernibleValue: 1,
--- a/bench/experiment/metrics-reader.ts
+++ b/bench/experiment/metrics-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the daemons' own metrics.
+ * Reads the metrics that the daemons expose over HTTP.
  *
  * @packageDocumentation
  */
@@ -21,7 +21,7 @@
   return samples;
 }
 
-/** Share of the reads that replicas served. */
+/** Share of the reads that were served by replicas. */
 export async function readReplicaShare(deployment: Deployment): Promise<number> {
   const samples = (await readSamples(deployment, 'statements_total')).filter(([labels]) =>
     labels.includes('kind="read"'),
@@ -34,12 +34,12 @@
   return total === 0 ? 0 : sum('replica') / total;
 }
 
-/** Statements sent to members so far. */
+/** Number of statements that the daemons have sent to members so far. */
 export async function readStatementCount(deployment: Deployment): Promise<number> {
   return (await readSamples(deployment, 'statements_total')).reduce((total, [, value]) => total + value, 0);
 }
 
-/** Refusals by reason. */
+/** Number of refusals by reason. */
 export async function readRefusals(deployment: Deployment): Promise<Record<string, number>> {
   const counts: Record<string, number> = {};
   for (const [labels, value] of await readSamples(deployment, 'refusals_total')) {
--- a/bench/experiment/overload.ts
+++ b/bench/experiment/overload.ts
@@ -1,5 +1,6 @@
 /**
- * More work than a member can do, in two classes: the important one is to keep its throughput.
+ * Overload experiment: offers more load than a member can process, in two classes. The important class has to
+ * keep its throughput.
  *
  * @packageDocumentation
  */
@@ -14,22 +15,22 @@
 const SERVICE_TIME_MS = 4;
 const IMPORTANT_CLIENTS = 8;
 const BULK_CLIENTS = 200;
-const IMPORTANT_THINK_MS = 12;
+const IMPORTANT_THINK_TIME_MS = 12;
 
-/** Result of the measurement. */
+/** Result of the overload experiment. */
 export interface OverloadResult {
-  /** The important class without other work. */
+  /** The important class without bulk load. */
   readonly alone: ClosedLoopResult;
   readonly important: ClosedLoopResult;
   readonly bulk: ClosedLoopResult;
-  /** Share of its throughput that the important class keeps. */
+  /** Throughput of the important class under overload, relative to `alone`. */
   readonly kept: number;
   readonly totalPerSecond: number;
-  /** Bulk work alone: what the member can do. */
+  /** Bulk load alone, which gives the capacity of the member. */
   readonly capacity: ClosedLoopResult;
 }
 
-/** Measures. */
+/** Runs the overload experiment; each load takes `durationMs`. */
 export async function runOverload(durationMs: number): Promise<OverloadResult> {
   const deployment = await Deployment.start({
     networkId: 104,
@@ -53,10 +54,10 @@
     const importantLoad = {
       ...common,
       clients: IMPORTANT_CLIENTS,
-      thinkTimeMs: IMPORTANT_THINK_MS,
-      textOf: ofClass('important'),
+      thinkTimeMs: IMPORTANT_THINK_TIME_MS,
+      statementText: ofClass('important'),
     };
-    const bulkLoad = { ...common, clients: BULK_CLIENTS, thinkTimeMs: 0, textOf: ofClass('bulk') };
+    const bulkLoad = { ...common, clients: BULK_CLIENTS, thinkTimeMs: 0, statementText: ofClass('bulk') };
     const alone = await runClosedLoop(importantLoad);
     const capacity = await runClosedLoop({ ...bulkLoad, clients: SLOTS * 4 });
     const [important, bulk] = await Promise.all([runClosedLoop(importantLoad), runClosedLoop(bulkLoad)]);
--- a/bench/experiment/report.ts
+++ b/bench/experiment/report.ts
@@ -1,5 +1,5 @@
 /**
- * Results side by side, and a page with plots that opens from a file.
+ * Formats results as a comparison table or as a self-contained HTML page with bar charts.
  *
  * @packageDocumentation
  */
@@ -26,7 +26,7 @@
   { name: 'violations', unit: '', read: (r) => Object.values(r.violations).reduce((sum, n) => sum + n, 0) },
 ];
 
-/** Two results as a table of text. */
+/** Formats two results as a text table. */
 export function formatComparison(before: RunResult, after: RunResult): string {
   const rows = FIGURES.map(({ name, unit, read }) => {
     const [left, right] = [read(before), read(after)];
@@ -40,7 +40,7 @@
 const ROW_HEIGHT = 22;
 const LABEL_WIDTH = 230;
 
-/** A page with one bar chart for each figure. */
+/** Renders an HTML page with one bar chart per figure. */
 export function renderReport(results: readonly RunResult[]): string {
   const charts = FIGURES.map((figure) => renderChart(figure, results)).join('\n');
   return `<!doctype html>
--- a/bench/experiment/run-scenario.ts
+++ b/bench/experiment/run-scenario.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one scenario over one deployment, with its baselines, and sums the run up.
+ * Runs one scenario on one deployment, together with its baselines, and summarises the results.
  *
  * @packageDocumentation
  */
@@ -28,7 +28,7 @@
   readonly partMs: number;
 }
 
-/** What one load saw. */
+/** Throughput, latencies and outcomes of one load. */
 export interface LoadSummary {
   readonly operations: number;
   readonly perSecond: number;
@@ -46,7 +46,10 @@
   readonly sessions: number;
   readonly load: LoadSummary;
   readonly replicaShare: number;
-  /** Share that the rule "stay on the primary for the lag after a write" would have had in the same run. */
+  /**
+   * Share of reads that replicas could have served in the same run if sessions read from the primary for the
+   * duration of the replication lag after each write.
+   */
   readonly stickyShare: number;
   readonly failover: { readonly electionMs: number; readonly gapMs: number; readonly addedMs: number } | null;
   readonly refusals: Readonly<Record<string, number>>;
@@ -58,11 +61,11 @@
 }
 
 const VERSION = '0.1.0';
-const MIX = { write: 5, transaction: 0, once: 0 };
+const LOAD_MIX = { write: 5, transaction: 0, once: 0 };
 const SETTLE_MS = 1000;
 const PROBE_WARM_UP_MS = 500;
 
-/** Runs a scenario. */
+/** Starts the deployment, runs the baselines and the scenario, and stops the deployment. */
 export async function runScenario(options: RunOptions): Promise<RunResult> {
   const base = DEPLOYMENTS[options.deployment];
   const member = { ...base.member, ...options.scenario.member };
@@ -85,7 +88,7 @@
   const load = new LoadGenerator(loadOptions(deployment, options, 'daemons'));
   load.start();
   await delay(options.partMs / 2);
-  const failover = await bringFaultAbout(deployment, options);
+  const failover = await injectFault(deployment, options);
   await load.stop();
   const replicaShare = await readReplicaShare(deployment);
   const refusals = await readRefusals(deployment);
@@ -109,7 +112,7 @@
   };
 }
 
-async function bringFaultAbout(deployment: Deployment, options: RunOptions): Promise<RunResult['failover']> {
+async function injectFault(deployment: Deployment, options: RunOptions): Promise<RunResult['failover']> {
   const { fault } = options.scenario;
   if (fault === null) {
     await delay(options.partMs / 2);
@@ -138,7 +141,7 @@
   }));
   const { sessions, seed, thinkTimeMs } = options;
   const { databases } = deployment.options;
-  return { targets, databases, sessions, mix: MIX, seed, thinkTimeMs, readClass: 'lookup', name };
+  return { targets, databases, sessions, mix: LOAD_MIX, seed, thinkTimeMs, readClass: 'lookup', name };
 }
 
 async function runBaselines(deployment: Deployment, options: RunOptions): Promise<RunResult['baselines']> {
@@ -169,7 +172,7 @@
   pick: (count: number) => number,
 ) => LoadTarget | undefined;
 
-/** One load for each database, straight to its members, since a load's choice does not see the database. */
+/** Runs one load per database directly on its members, since `chooseTarget` does not receive the database. */
 async function runBaseline(
   deployment: Deployment,
   options: RunOptions,
@@ -214,10 +217,10 @@
   };
 }
 
-/** Share of reads whose session has not written for the time of the lag. */
+/** Share of reads whose session has not written during the preceding replication lag. */
 function stickyShare(operations: readonly Operation[], lagMs: number): number {
   const lastWriteMs = new Map<string, number>();
-  let free = 0;
+  let eligibleReads = 0;
   let reads = 0;
   for (const { kind, session, startedMs, endedMs } of [...operations].sort(
     (a, b) => a.startedMs - b.startedMs,
@@ -225,9 +228,9 @@
     if (kind === 'write') lastWriteMs.set(session, endedMs);
     if (kind !== 'read') continue;
     reads += 1;
-    if (startedMs - (lastWriteMs.get(session) ?? Number.NEGATIVE_INFINITY) > lagMs) free += 1;
+    if (startedMs - (lastWriteMs.get(session) ?? Number.NEGATIVE_INFINITY) > lagMs) eligibleReads += 1;
   }
-  return reads === 0 ? 0 : free / reads;
+  return reads === 0 ? 0 : eligibleReads / reads;
 }
 
 async function createTables(deployment: Deployment): Promise<void> {
--- a/bench/experiment/scenarios.ts
+++ b/bench/experiment/scenarios.ts
@@ -1,23 +1,23 @@
 /**
- * Named scenarios: what goes wrong, and when.
+ * Named scenarios of the experiments and the faults that they inject.
  *
  * @packageDocumentation
  */
 import type { Deployment, DeploymentOptions } from '../../standin/rig/deployment.js';
 
-/** A fault brought about in the middle of a run. */
+/** A fault that is injected in the middle of a run. */
 export interface ScenarioFault {
-  /** Database whose writes it stops, or `null`. */
+  /** Database whose writes the fault interrupts, or `null`. */
   readonly database: string | null;
-  /** Zone that it cuts off, or `null`. */
+  /** Zone that the fault isolates, or `null`. */
   cutZone(deployment: Deployment): Promise<string | null>;
-  /** Brings the fault about. */
+  /** Injects the fault. */
   begin(deployment: Deployment): Promise<void>;
   /** Ends the fault. */
   end(deployment: Deployment): Promise<void>;
 }
 
-/** One scenario. */
+/** A scenario: optional settings of the members and an optional fault. */
 export interface Scenario {
   readonly name: string;
   readonly description: string;
@@ -62,7 +62,7 @@
   end: async () => undefined,
 };
 
-const storeOut: ScenarioFault = {
+const storeOutage: ScenarioFault = {
   database: null,
   cutZone: NO_CUT,
   begin: async (deployment) => {
@@ -97,6 +97,6 @@
     fault: cutPrimary,
   },
   { name: 'owner-killed', description: 'the daemon that owns a database is killed', fault: killOwner },
-  { name: 'store-out', description: 'the store is down', fault: storeOut },
+  { name: 'store-out', description: 'the store is down', fault: storeOutage },
   { name: 'rolling-restart', description: 'all daemons are restarted one by one', fault: rollingRestart },
 ];
--- a/bench/experiment/throughput.ts
+++ b/bench/experiment/throughput.ts
@@ -1,5 +1,6 @@
 /**
- * One daemon against the member itself: statements a second, added latency, memory of idle clients.
+ * Compares one daemon with direct access to the member: throughput, latency, processor time, and memory of
+ * idle clients.
  *
  * @packageDocumentation
  */
@@ -14,7 +15,7 @@
 const CLIENTS = 16;
 const IDLE_CLIENTS = 2000;
 
-/** Result of the measurement. */
+/** Result of the throughput experiment. */
 export interface ThroughputResult {
   readonly reads: {
     readonly direct: ClosedLoopResult;
@@ -26,23 +27,23 @@
     readonly daemon: ClosedLoopResult;
     readonly ratio: number;
   };
-  /** Daemon's processor time for each read, in microseconds. */
+  /** Processor time of the daemon per read, in microseconds. */
   readonly microsecondsPerRead: number;
   readonly microsecondsPerWrite: number;
-  /** Bytes of questions to members and their answers, for each write. */
+  /** Bytes of control requests to members and their answers, per write. */
   readonly controlBytesPerWrite: number;
-  /** Reads that arrive at a daemon which does not own the database: processor time there and at the owner. */
+  /** Reads sent to a daemon that does not own the database: processor time there and at the owner. */
   readonly forwarded: {
     readonly result: ClosedLoopResult;
     readonly entryMicroseconds: number;
     readonly ownerMicroseconds: number;
   };
-  /** Resident memory of the daemon without clients, and added by each idle client, in bytes. */
+  /** Resident memory of the daemon without clients, and the addition per idle client, in bytes. */
   readonly idleBytes: number;
   readonly bytesPerIdleClient: number;
 }
 
-/** Measures. */
+/** Runs the throughput experiment; each load takes `durationMs`. */
 export async function runThroughput(durationMs: number): Promise<ThroughputResult> {
   const deployment = await Deployment.start({
     networkId: 103,
@@ -76,22 +77,22 @@
   const memberAddress = deployment.memberAddress((await deployment.findPrimary(DATABASE)) ?? '');
   const common = { database: DATABASE, clients: CLIENTS, durationMs, thinkTimeMs: 0 };
   const readText = (): string => "SELECT version FROM record WHERE key = 'k'";
-  const directReads = await runClosedLoop({ ...common, address: memberAddress, textOf: readText });
+  const directReads = await runClosedLoop({ ...common, address: memberAddress, statementText: readText });
   const beforeReadsMs = processorMs(pid);
-  const daemonReads = await runClosedLoop({ ...common, address: daemonAddress, textOf: readText });
+  const daemonReads = await runClosedLoop({ ...common, address: daemonAddress, statementText: readText });
   const readCostMs = processorMs(pid) - beforeReadsMs;
   const insertText = (client: number, round: number): string =>
     `INSERT INTO record VALUES ('d${client}', ${round}, 'w') ON CONFLICT (key) DO UPDATE SET version = excluded.version`;
-  const directWrites = await runClosedLoop({ ...common, address: memberAddress, textOf: insertText });
+  const directWrites = await runClosedLoop({ ...common, address: memberAddress, statementText: insertText });
   const bytesBefore = (await deployment.status(daemonId)).memberControlBytes;
   const beforeWritesMs = processorMs(pid);
-  const daemonWrites = await runClosedLoop({ ...common, address: daemonAddress, textOf: insertText });
+  const daemonWrites = await runClosedLoop({ ...common, address: daemonAddress, statementText: insertText });
   const writeCostMs = processorMs(pid) - beforeWritesMs;
   const controlBytes = (await deployment.status(daemonId)).memberControlBytes - bytesBefore;
   const entryPid = deployment.child(otherId).pid;
   const [entryBeforeMs, ownerBeforeMs] = [processorMs(entryPid), processorMs(pid)];
   const otherAddress = deployment.clientAddress(otherId);
-  const forwardedReads = await runClosedLoop({ ...common, address: otherAddress, textOf: readText });
+  const forwardedReads = await runClosedLoop({ ...common, address: otherAddress, statementText: readText });
   const perRead = (costMs: number): number => (costMs * 1000) / forwardedReads.latency.count;
   return {
     reads: { direct: directReads, daemon: daemonReads, ratio: daemonReads.perSecond / directReads.perSecond },
--- a/bench/history/checker.test.ts
+++ b/bench/history/checker.test.ts
@@ -1,5 +1,6 @@
 /**
- * The checker finds a planted violation of each property, and none in a sound history.
+ * Guards against a checker that misses violations: it must find a planted violation of each property, and
+ * none in a history without violations.
  *
  * @packageDocumentation
  */
--- a/bench/history/checker.ts
+++ b/bench/history/checker.ts
@@ -1,5 +1,5 @@
 /**
- * Counts violations of the properties in a recorded history.
+ * Finds and counts violations of the guaranteed properties in a recorded history.
  *
  * Shares no code with the product.
  *
@@ -7,7 +7,7 @@
  */
 import type { History, LoggedTransaction, MemberRecord, Operation } from './history.js';
 
-/** The properties that a history can show to be violated. */
+/** Properties that are checked in a history. */
 export type Property =
   | 'readYourWrites'
   | 'noLostAcknowledgement'
@@ -38,7 +38,7 @@
   ];
 }
 
-/** Number of violations by property, also those with none. */
+/** Number of violations by property, including properties without violations. */
 export function countViolations(violations: readonly Violation[]): Record<Property, number> {
   const counts: Record<Property, number> = {
     readYourWrites: 0,
@@ -53,7 +53,7 @@
   return counts;
 }
 
-/** The log that counts in each database: that of the primary of the highest term. */
+/** The surviving log of each database: the log of the primary with the highest term. */
 function finalLogs(members: readonly MemberRecord[]): Map<string, readonly LoggedTransaction[]> {
   const primaries = new Map<string, MemberRecord>();
   for (const member of members) {
@@ -68,9 +68,9 @@
 function checkReadYourWrites(operations: readonly Operation[]): Violation[] {
   const violations: Violation[] = [];
   const bySession = groupBy(operations, ({ session, key }) => `${session} ${key}`);
-  for (const own of bySession.values()) {
-    const writes = own.filter(({ kind, outcome }) => kind === 'write' && outcome === 'ok');
-    for (const read of own) {
+  for (const sessionOperations of bySession.values()) {
+    const writes = sessionOperations.filter(({ kind, outcome }) => kind === 'write' && outcome === 'ok');
+    for (const read of sessionOperations) {
       if (read.kind !== 'read' || read.outcome !== 'ok') continue;
       const earlier = writes.filter(({ endedMs }) => endedMs <= read.startedMs);
       const newest = Math.max(0, ...earlier.map(({ version }) => version));
@@ -82,7 +82,7 @@
   return violations;
 }
 
-/** What was acknowledged is in the log that survived. */
+/** Every acknowledged operation must be in the surviving log. */
 function checkAcknowledged(
   operations: readonly Operation[],
   final: ReadonlyMap<string, readonly LoggedTransaction[]>,
@@ -107,11 +107,11 @@
   return ids?.has(operation.operationId) ?? false;
 }
 
-/** Each logged transaction holds the rows of one operation only. */
+/** Each log entry must contain the rows of one operation only, and each transaction must be in one entry. */
 function checkTransactions(final: ReadonlyMap<string, readonly LoggedTransaction[]>): Violation[] {
   const violations: Violation[] = [];
   for (const log of final.values()) {
-    const places = new Map<string, number>();
+    const entryIndexes = new Map<string, number>();
     for (const { index, operationIds } of log) {
       const distinct = new Set(operationIds);
       const [first = ''] = distinct;
@@ -120,19 +120,19 @@
         violations.push({ property: 'transactionsApart', operationId: first, explanation });
       }
       for (const id of distinct) {
-        const other = places.get(id);
+        const other = entryIndexes.get(id);
         if (other !== undefined && id.startsWith('transaction')) {
           const explanation = `rows of one transaction are in log entries ${other} and ${index}`;
           violations.push({ property: 'transactionsApart', operationId: id, explanation });
         }
-        places.set(id, index);
+        entryIndexes.set(id, index);
       }
     }
   }
   return violations;
 }
 
-/** Each read got the answer to its own question. */
+/** Each read must receive the answer to its own request. */
 function checkAnswers(operations: readonly Operation[]): Violation[] {
   return operations
     .filter(({ kind, outcome }) => kind === 'read' && outcome === 'ok')
@@ -144,13 +144,13 @@
     }));
 }
 
-/** What was answered with `not_run` is in no member's log. */
+/** An operation answered with `not_run` must not be in any member's log. */
 function checkNotRun({ operations, members }: History): Violation[] {
-  const everywhere = new Set(members.flatMap(({ log }) => log.flatMap(({ operationIds }) => operationIds)));
+  const loggedIds = new Set(members.flatMap(({ log }) => log.flatMap(({ operationIds }) => operationIds)));
   return operations
     .filter(
       ({ kind, outcome, operationId }) =>
-        kind !== 'read' && outcome === 'not_run' && everywhere.has(operationId),
+        kind !== 'read' && outcome === 'not_run' && loggedIds.has(operationId),
     )
     .map(({ operationId }) => ({
       property: 'notRunIsTrue',
@@ -159,7 +159,7 @@
     }));
 }
 
-/** Each once-only key is in the surviving log at most once, and acknowledged at most once. */
+/** Each once-only key must be in the surviving log at most once, and be acknowledged at most once. */
 function checkOnce(
   operations: readonly Operation[],
   final: ReadonlyMap<string, readonly LoggedTransaction[]>,
@@ -190,7 +190,7 @@
   return violations;
 }
 
-/** No member was asked for more connections than it accepts. */
+/** No member may have refused connections above its limit. */
 function checkConnections(members: readonly MemberRecord[]): Violation[] {
   return members
     .filter(({ refusedConnections }) => refusedConnections > 0)
--- a/bench/history/history.ts
+++ b/bench/history/history.ts
@@ -1,24 +1,24 @@
 /**
- * What a load generator records: who asked what, when, and what came back.
+ * Records of a load generator: the operations of each session with their times and outcomes.
  *
- * Shares no code with the product, so that a fault of the product cannot hide itself.
+ * Shares no code with the product, so that a defect of the product cannot hide violations.
  *
  * @packageDocumentation
  */
 
-/** What an operation did. */
+/** Kind of an operation. */
 export type OperationKind = 'write' | 'read' | 'transaction' | 'once';
 
 /**
- * How an operation ended for its client.
+ * Outcome of an operation as its client observed it.
  *
- * `unknown` is a lost connection without a word.
+ * `unknown` means that the connection was lost without an answer.
  */
 export type Outcome = 'ok' | 'not_run' | 'may_have_run' | 'ran' | 'error' | 'unknown';
 
 /** One operation of one session. */
 export interface Operation {
-  /** Unique among all operations; written into the rows, so that members' logs show it. */
+  /** Unique among all operations. It is written into the rows, so that it appears in the members' logs. */
   readonly operationId: string;
   readonly kind: OperationKind;
   readonly database: string;
@@ -35,9 +35,9 @@
   readonly outcome: Outcome;
   /** SQLSTATE of a failure, or empty. */
   readonly sqlState: string;
-  /** Version that a read saw; 0 for none. */
+  /** Version that a read returned; 0 for none. */
   readonly observedVersion: number;
-  /** Operation id that came back with the answer of a read. */
+  /** Operation id returned with the answer to a read. */
   readonly echoedId: string;
 }
 
@@ -49,7 +49,7 @@
   readonly operationIds: readonly string[];
 }
 
-/** A member as it was at the end, and what it counted. */
+/** Final state and counters of a member. */
 export interface MemberRecord {
   readonly memberId: string;
   readonly database: string;
@@ -61,7 +61,7 @@
   readonly refusedConnections: number;
 }
 
-/** Everything that a checker needs. */
+/** Input of the checker: all operations and the final state of all members. */
 export interface History {
   readonly operations: readonly Operation[];
   readonly members: readonly MemberRecord[];
--- a/bench/load/collect-members.ts
+++ b/bench/load/collect-members.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what the members of a deployment hold and have counted, at the end of a run.
+ * Reads the logs and counters of the members of a deployment at the end of a run.
  *
  * @packageDocumentation
  */
@@ -7,7 +7,7 @@
 import type { Deployment } from '../../standin/rig/deployment.js';
 import type { LoggedTransaction, MemberRecord } from '../history/history.js';
 
-/** Records of all members that still run. */
+/** Records of all members that are still running. */
 export async function collectMembers(deployment: Deployment): Promise<MemberRecord[]> {
   const records: MemberRecord[] = [];
   for (const memberId of deployment.members.keys()) {
--- a/bench/load/load-generator.ts
+++ b/bench/load/load-generator.ts
@@ -1,5 +1,5 @@
 /**
- * Sessions that write, read, and move between daemons, and record what they see.
+ * Load generator: sessions that write, read and switch between daemons, and record each operation.
  *
  * @packageDocumentation
  */
@@ -7,14 +7,14 @@
 import { uniformInt, xoroshiro128plus, type RandomGenerator } from './random.js';
 import type { Operation, OperationKind, Outcome } from '../history/history.js';
 
-/** A place to connect to. */
+/** Address of a daemon or member that sessions connect to. */
 export interface LoadTarget {
   readonly daemonId: string;
   readonly host: string;
   readonly port: number;
 }
 
-/** Shares of the kinds of operation, in percent; the rest are reads. */
+/** Percentage of each kind of operation; the remaining ones are reads. */
 export interface LoadMix {
   readonly write: number;
   readonly transaction: number;
@@ -30,9 +30,9 @@
   readonly seed: number;
   /** Pause of a session between operations, in milliseconds. */
   readonly thinkTimeMs: number;
-  /** Class that reads name, for the policy. */
+  /** Statement class of the reads, which the policy matches. */
   readonly readClass: string;
-  /** Where an operation goes; by default to a random target. */
+  /** Selects the target of an operation; a random one by default. */
   readonly chooseTarget?: (kind: OperationKind, random: RandomGenerator) => LoadTarget;
   /** Prefix of operation ids and keys, unique in the deployment. */
   readonly name: string;
@@ -43,13 +43,13 @@
 const QUERY_TIMEOUT_MS = 15_000;
 const MAX_ONCE_ATTEMPTS = 6;
 
-/** Statements that make the tables which the load uses. */
+/** Statements that create the tables used by the load. */
 export const LOAD_SCHEMA = [
   'CREATE TABLE IF NOT EXISTS record (key text PRIMARY KEY, version int, operation text)',
   'CREATE TABLE IF NOT EXISTS sorrelladder_once (key text PRIMARY KEY)',
 ];
 
-/** A load that runs until it is stopped. */
+/** Runs the load until it is stopped. */
 export class LoadGenerator {
   readonly operations: Operation[] = [];
   readonly #sessions: Promise<void>[] = [];
@@ -69,7 +69,7 @@
     for (let i = 0; i < this.options.sessions; i += 1) this.#sessions.push(this.#runSession(i));
   }
 
-  /** Lets every session finish its operation. */
+  /** Stops all sessions after their current operation. */
   async stop(): Promise<void> {
     this.#isStopped = true;
     await Promise.all(this.#sessions);
@@ -80,7 +80,7 @@
     const random = xoroshiro128plus(seed + number);
     const database = databases[number % databases.length] ?? '';
     const session = new LoadSession(this.options, database, `${name}-${number}`, random);
-    await this.#makeOwnRow(session);
+    await this.#createOwnRow(session);
     while (!this.#isStopped) {
       await this.#step(session, random);
       if (thinkTimeMs > 0) await delay(thinkTimeMs);
@@ -90,10 +90,10 @@
 
   async #step(session: LoadSession, random: RandomGenerator): Promise<void> {
     const { mix } = this.options;
-    const dice = uniformInt(random, 0, 99);
-    if (dice < mix.write) await this.#write(session);
-    else if (dice < mix.write + mix.transaction) await this.#transaction(session);
-    else if (dice < mix.write + mix.transaction + mix.once) await this.#once(session);
+    const draw = uniformInt(random, 0, 99);
+    if (draw < mix.write) await this.#write(session);
+    else if (draw < mix.write + mix.transaction) await this.#transaction(session);
+    else if (draw < mix.write + mix.transaction + mix.once) await this.#once(session);
     else await this.#read(session);
   }
 
@@ -101,8 +101,8 @@
     return `${kind}/${this.options.name}-${this.#nextId++}`;
   }
 
-  /** Every read is to find a row, so that its answer can be recognised. */
-  async #makeOwnRow(session: LoadSession): Promise<void> {
+  /** Creates the session's row, so that every read returns a row that identifies its answer. */
+  async #createOwnRow(session: LoadSession): Promise<void> {
     let outcome: Outcome = 'not_run';
     while (outcome !== 'ok' && !this.#isStopped) outcome = await this.#write(session);
   }
@@ -140,7 +140,10 @@
     );
   }
 
-  /** Asks again, through whichever daemon, until the outcome is known. */
+  /**
+   * Retries, possibly through another daemon, until the write is known to have run or the attempts are used
+   * up.
+   */
   async #once(session: LoadSession): Promise<void> {
     const onceKey = `${this.options.name}-${this.#nextId++}`;
     for (let attempt = 1; attempt <= MAX_ONCE_ATTEMPTS; attempt += 1) {
@@ -157,29 +160,29 @@
 
   async #record(
     session: LoadSession,
-    what: Pick<Operation, 'operationId' | 'kind' | 'version' | 'onceKey'>,
+    request: Pick<Operation, 'operationId' | 'kind' | 'version' | 'onceKey'>,
     run: (client: pg.Client) => Promise<pg.QueryResult>,
   ): Promise<Outcome> {
-    const place = await session.connect(what.kind);
-    if (place === null) return 'not_run';
+    const connection = await session.connect(request.kind);
+    if (connection === null) return 'not_run';
     const startedMs = performance.now();
     let result: pg.QueryResult | null = null;
     let failure: { readonly outcome: Outcome; readonly sqlState: string } | null = null;
     try {
-      result = await run(place.client);
+      result = await run(connection.client);
       // COMMIT of a failed transaction answers ROLLBACK without an error.
       if (result.command === 'ROLLBACK') failure = { outcome: 'not_run', sqlState: '25P02' };
     } catch (error) {
       failure = readFailure(error);
-      await session.drop(place.daemonId);
+      await session.drop(connection.daemonId);
     }
     const [row] = (result?.rows ?? []) as { version?: number; echo?: string }[];
     const outcome = failure?.outcome ?? 'ok';
     this.operations.push({
-      ...what,
+      ...request,
       database: session.database,
       session: session.name,
-      daemonId: place.daemonId,
+      daemonId: connection.daemonId,
       key: `${session.name}-own`,
       startedMs,
       endedMs: performance.now(),
@@ -193,7 +196,7 @@
   }
 }
 
-/** One session: a connection to each daemon it has been at. */
+/** A session with a connection to each target that it has used. */
 class LoadSession {
   version = 0;
   readonly #clients = new Map<string, pg.Client>();
@@ -205,7 +208,7 @@
     private readonly random: RandomGenerator,
   ) {}
 
-  /** Moves to a random daemon; `null` when it cannot be reached. */
+  /** Selects a target and connects to it if necessary; `null` if it cannot be reached. */
   async connect(
     kind: OperationKind,
   ): Promise<{ readonly client: pg.Client; readonly daemonId: string } | null> {
@@ -240,7 +243,7 @@
     return targets[uniformInt(this.random, 0, targets.length - 1)];
   }
 
-  /** Forgets a connection after a failure. */
+  /** Removes a connection after a failure and closes it. */
   async drop(daemonId: string): Promise<void> {
     const client = this.#clients.get(daemonId);
     this.#clients.delete(daemonId);
--- a/bench/load/random.ts
+++ b/bench/load/random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers for loads.
+ * Seeded random number generator of the load.
  *
  * @packageDocumentation
  */
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The experiment tool.
+ * Command line of the experiments.
  *
  * @packageDocumentation
  */
@@ -13,8 +13,8 @@
 import { SCENARIOS } from './experiment/scenarios.js';
 import { measureTenancy } from './experiment/tenancy-cost.js';
 import { runThroughput } from './experiment/throughput.js';
-import { playSeeds } from './seeds/play-seeds.js';
-import { formatPlays, type Play } from './seeds/summarize.js';
+import { runSeeds } from './seeds/play-seeds.js';
+import { formatRuns, type SeedRun } from './seeds/summarize.js';
 
 const program = new Command('bench').description('experiments over real processes on loopback');
 
@@ -99,13 +99,13 @@
       jobs: Number(options['jobs']),
       why: options['why'] ?? '',
     };
-    const plays = await playSeeds(plan, ({ day, seed, worth }) =>
+    const runs = await runSeeds(plan, ({ day, seed, worth }) =>
       process.stderr.write(`${day} ${seed} ${String(worth)}\n`),
     );
     const before = options['against'];
-    const earlier = before === undefined ? null : (JSON.parse(readFileSync(before, 'utf8')) as Play[]);
-    process.stdout.write(formatPlays(plays, earlier));
-    if (options['out'] !== undefined) print(plays, options['out']);
+    const earlier = before === undefined ? null : (JSON.parse(readFileSync(before, 'utf8')) as SeedRun[]);
+    process.stdout.write(formatRuns(runs, earlier));
+    if (options['out'] !== undefined) print(runs, options['out']);
   });
 
 program
--- a/bench/seeds/play-seeds.ts
+++ b/bench/seeds/play-seeds.ts
@@ -1,52 +1,55 @@
 /**
- * Plays a list of days with a list of seeds by the users' bench, several at once.
+ * Runs a list of test days with a list of seeds on the users' bench, several runs at a time.
  *
  * @packageDocumentation
  */
 import { execFile } from 'node:child_process';
-import { readPlay, type Play } from './summarize.js';
+import { parseRunReport, type SeedRun } from './summarize.js';
 
-/** What is played. */
+/** Parameters of the runs. */
 export interface SeedPlan {
-  /** The users' bench program. */
+  /** Path of the users' bench program. */
   readonly bench: string;
-  /** Site file. */
+  /** Path of the site file. */
   readonly site: string;
-  /** Folder of the version that is played. */
+  /** Folder of the version under test. */
   readonly repository: string;
   readonly days: readonly string[];
   readonly seeds: readonly number[];
-  /** Days that are played at once. */
+  /** Maximum number of concurrent runs. */
   readonly jobs: number;
-  /** Why, for the journal. */
+  /** Reason for the runs, recorded in the bench's journal. */
   readonly why: string;
 }
 
-/** Largest report that is read, in bytes. */
+/** Maximum size of a report, in bytes. */
 const MAX_REPORT_BYTES = 16 * 1024 * 1024;
 
-/** Plays all days with all seeds; told of each when it ends. */
-export async function playSeeds(plan: SeedPlan, onPlayed: (play: Play) => void): Promise<readonly Play[]> {
+/** Runs all days with all seeds; calls `onRunFinished` after each run. */
+export async function runSeeds(
+  plan: SeedPlan,
+  onRunFinished: (run: SeedRun) => void,
+): Promise<readonly SeedRun[]> {
   const queue = plan.seeds.flatMap((seed) => plan.days.map((day) => ({ day, seed })));
-  const plays: Play[] = [];
-  const work = async (): Promise<void> => {
+  const runs: SeedRun[] = [];
+  const runQueue = async (): Promise<void> => {
     for (let next = queue.shift(); next !== undefined; next = queue.shift()) {
-      const play = await playOne(plan, next.day, next.seed);
-      plays.push(play);
-      onPlayed(play);
+      const run = await runOne(plan, next.day, next.seed);
+      runs.push(run);
+      onRunFinished(run);
     }
   };
-  await Promise.all(Array.from({ length: plan.jobs }, work));
-  return plays;
+  await Promise.all(Array.from({ length: plan.jobs }, runQueue));
+  return runs;
 }
 
-function playOne({ bench, site, repository, why }: SeedPlan, day: string, seed: number): Promise<Play> {
-  const words = ['run', site, day, '--seed', String(seed), '--why', `${why} (${day}, seed ${seed})`];
+function runOne({ bench, site, repository, why }: SeedPlan, day: string, seed: number): Promise<SeedRun> {
+  const args = ['run', site, day, '--seed', String(seed), '--why', `${why} (${day}, seed ${seed})`];
   return new Promise((resolve) => {
-    execFile(bench, words, { cwd: repository, maxBuffer: MAX_REPORT_BYTES }, (error, report) => {
-      const play = readPlay(day, seed, report);
-      if (error !== null && play.worth === null) process.stderr.write(`${day} ${seed}: ${error.message}\n`);
-      resolve(play);
+    execFile(bench, args, { cwd: repository, maxBuffer: MAX_REPORT_BYTES }, (error, report) => {
+      const run = parseRunReport(day, seed, report);
+      if (error !== null && run.worth === null) process.stderr.write(`${day} ${seed}: ${error.message}\n`);
+      resolve(run);
     });
   });
 }
--- a/examples/session-routing.ts
+++ b/examples/session-routing.ts
@@ -1,5 +1,5 @@
 /**
- * Example: choose a member for a session's read with the library's parts, without a daemon.
+ * Example: selects the member for a session's reads with the library, without a daemon.
  *
  * Run with `node dist/examples/session-routing.js`.
  *
@@ -24,7 +24,7 @@
   };
 }
 
-/** Ids of the members that serve the session's reads before and after its write has reached the replica. */
+/** Ids of the members that serve the session's reads before and after the replica has applied its write. */
 export function routeReads(): readonly string[] {
   const positions = new SessionPositions(1000);
   positions.recordWrite('agent-7', { term: 3, index: 120 });
