--- a/bench/main.ts
+++ b/bench/main.ts
@@ -13,7 +13,7 @@
 import { SCENARIOS } from './experiment/scenarios.js';
 import { measureTenancy } from './experiment/tenancy-cost.js';
 import { runThroughput } from './experiment/throughput.js';
-import { runSeeds } from './seeds/play-seeds.js';
+import { runSeeds } from './seeds/run-seeds.js';
 import { formatRuns, type SeedRun } from './seeds/summarize.js';
 
 const program = new Command('bench').description('experiments over real processes on loopback');
