--- a/test/integration/client-suite.test.ts
+++ b/test/integration/client-suite.test.ts
@@ -1,5 +1,5 @@
 /**
- * Two independent client libraries pass the same suite through a daemon.
+ * Runs the same suite with two independent client libraries through a daemon.
  *
  * @packageDocumentation
  */
@@ -24,8 +24,8 @@
   return { ...deployment.clientAddress(daemonId), database: 'quotes', options: '' };
 }
 
-/** The daemon that owns the database, and one that does not. */
-async function daemonPair(): Promise<readonly string[]> {
+/** Ids of the daemon that owns the database and of one that does not. */
+async function ownerAndOther(): Promise<readonly string[]> {
   const owner = (await deployment.findOwner('quotes')) ?? '';
   const other = [...deployment.daemons.keys()].find((daemonId) => daemonId !== owner) ?? '';
   return [owner, other];
@@ -42,7 +42,7 @@
     const id = firstId + place * 100;
 
     const withClient = async (work: (client: SqlClient) => Promise<void>): Promise<void> => {
-      const client = await open(target((await daemonPair())[place] ?? ''));
+      const client = await open(target((await ownerAndOther())[place] ?? ''));
       try {
         await work(client);
       } finally {
@@ -85,7 +85,7 @@
         assert.deepEqual([...(await client.query(`SELECT id FROM item WHERE id = ${id + 1}`))], []);
       }));
 
-    test(`${label}: a hundred queries at once are answered in order`, () =>
+    test(`${label}: a hundred concurrent queries are answered in order`, () =>
       withClient(async (client) => {
         const numbers = Array.from({ length: 100 }, (_, i) => i);
         const results = await Promise.all(numbers.map((i) => client.query('SELECT $1::int AS n', [i])));
@@ -107,7 +107,7 @@
         await Promise.all(others.map((other) => other.end()));
       }));
 
-    test(`${label}: a cancel reaches the running query, and only it`, () =>
+    test(`${label}: a cancel request ends the running query only`, () =>
       withClient(async (client) => {
         const before = await readStatementCount(deployment);
         const slow = client.start('SELECT pg_sleep(30)');
@@ -119,7 +119,7 @@
         assert.equal(row?.['n'], 5);
       }));
 
-    test(`${label}: a setting stays with its client`, () =>
+    test(`${label}: a session setting applies to its client only`, () =>
       withClient(async (client) => {
         const other = await open(target('zone-c-d1'));
         await client.query(`SET my.tag = '${label}'`);
--- a/test/integration/configuration.test.ts
+++ b/test/integration/configuration.test.ts
@@ -1,5 +1,5 @@
 /**
- * An accepted configuration is in force everywhere within seconds and never reverts.
+ * An accepted configuration takes effect on every daemon within seconds and never reverts.
  *
  * @packageDocumentation
  */
@@ -32,8 +32,8 @@
   });
 }
 
-/** Restarts a daemon and returns the versions it had in force, in order, until it has reached `version`. */
-async function restartAndFollow(daemonId: string, version: number): Promise<number[]> {
+/** Restarts a daemon and returns the versions that it applied, in order, until it has reached `version`. */
+async function restartAndRecordVersions(daemonId: string, version: number): Promise<number[]> {
   await deployment.child(daemonId).kill();
   deployment.startDaemon(daemonId);
   const seen: number[] = [];
@@ -45,7 +45,7 @@
   return seen;
 }
 
-test('a publication whose answer is lost is recognised by its identity and comes into force', async () => {
+test('a publication whose reply is lost is recognised by its identity and takes effect', async () => {
   await deployment.setStoreFaults({ loseAnswers: 1 });
   const version = await deployment.publish({ policy: policy('lost') });
   await waitForVersion(version);
@@ -54,7 +54,7 @@
   await client.end();
 });
 
-test('of two operators at once, one is accepted and the other is told', async () => {
+test('of two concurrent publications, one is accepted and the other reports a conflict', async () => {
   const store = deployment.configurationStore;
   const before = (await store.read())?.version ?? 0;
   const options = { publishedBy: 'operator', expectedVersion: before, readBackAttempts: 3 };
@@ -72,7 +72,7 @@
   assert.deepEqual(new Set(identities), new Set([(accepted[0] as { identity: string }).identity]));
 });
 
-test('a daemon that restarts while the store answers from an old snapshot starts with the newest version', async () => {
+test('a daemon that restarts while the store returns stale reads starts with the newest version', async () => {
   await deployment.setStoreFaults({ staleReads: true });
   await deployment.configurationStore.read();
   const version = await deployment.publish({ policy: policy('newest') }).catch(() => 0);
@@ -80,14 +80,14 @@
   const newest = version || (await deployment.publish({ policy: policy('newest') }));
   await waitForVersion(newest);
   await deployment.setStoreFaults({ staleReads: true });
-  assert.deepEqual(await restartAndFollow('zone-a-d1', newest), [newest]);
+  assert.deepEqual(await restartAndRecordVersions('zone-a-d1', newest), [newest]);
 });
 
-test('a daemon that restarts while the store is down takes the version of a majority', async () => {
+test('a daemon that restarts while the store is down adopts the version of a majority', async () => {
   const version = await deployment.publish({ policy: policy('majority') });
   await waitForVersion(version);
   await deployment.setStoreFaults({ down: true });
-  assert.deepEqual(await restartAndFollow('zone-b-d1', version), [version]);
+  assert.deepEqual(await restartAndRecordVersions('zone-b-d1', version), [version]);
 });
 
 test('with the store down and one other daemon left, a restarted daemon serves nothing until the store is back', async () => {
@@ -110,11 +110,13 @@
 });
 
 /**
- * A store that came back from an older copy held a configuration before the one in force, and the next publication was built on that:
- * it was accepted under a version that the daemons had seen, and came into force nowhere. Evidence: on the code before, the store keeps
- * the older configuration for good. A revision of one history was taken for one of another here, too: only the daemons still knew.
+ * Guards against publications that never take effect after the store was restored from a backup. The restored
+ * store holds an older configuration than the daemons have applied. The next publication is based on it, so
+ * it is accepted under a version that the daemons already know, and no daemon applies it. The daemons must
+ * also not mistake a revision of the restored store for one from before the restore, and have to write the
+ * lost configuration back: only they still have it.
  */
-test('a configuration that the store has lost is written again by a daemon, and the next one comes into force', async () => {
+test('a daemon writes back a configuration that the store has lost, and the next one takes effect', async () => {
   const { configurationStore: store } = deployment;
   const older = await deployment.publish({ policy: policy('older') });
   const before = await store.readVersion(older);
@@ -123,6 +125,9 @@
   assert.ok(before !== null);
   const stored = await store.readStored();
   assert.equal(await store.restore(before, stored?.modRevision ?? 0), true);
-  await waitUntil('the newer one in the store', async () => (await store.read())?.version === newer);
+  await waitUntil(
+    'the newer configuration to be in the store',
+    async () => (await store.read())?.version === newer,
+  );
   await waitForVersion(await deployment.publish({ policy: policy('next') }));
 });
--- a/test/integration/connection-congestion.test.ts
+++ b/test/integration/connection-congestion.test.ts
@@ -1,6 +1,7 @@
 /**
- * A member to which every new connection costs a slot for a while, before a large fleet that starts at once: neither the
- * fleet's questions nor its connections may take what the member needs for statements.
+ * A member on which each new connection occupies a slot for some time, and a large fleet of daemons that
+ * starts at once. Neither the status requests nor the connections of the fleet may use up the slots that the
+ * member needs for statements.
  *
  * @packageDocumentation
  */
@@ -17,14 +18,14 @@
 import { ModelledMember, type MemberModel } from '../support/modelled-member.js';
 
 const MODEL: MemberModel = { slots: 2, handshakeMs: 27, workMs: 14, queue: 16 };
-/** Statements that the member answers in a second at its best. */
-const BEST_PER_S = (1000 / MODEL.workMs) * MODEL.slots;
+/** Highest number of statements that the member can answer per second. */
+const CAPACITY_PER_S = (1000 / MODEL.workMs) * MODEL.slots;
 const DAEMONS = 195;
 const GATEWAYS = 6;
-const CONNECTIONS_EACH = 4;
-const QUESTION_EACH_MS = 300;
+const CONNECTIONS_PER_GATEWAY = 4;
+const STATUS_INTERVAL_MS = 300;
 const STATUS_TIMEOUT_MS = 250;
-const OBJECTIVE_MS = 250;
+const LATENCY_OBJECTIVE_MS = 250;
 
 const ENTRY: MemberEntry = {
   memberId: 'm',
@@ -38,8 +39,8 @@
   bornMs: null,
 };
 
-/** A clock and timers that are moved by hand. */
-class Time {
+/** A clock and timers that the test advances. */
+class TestClock {
   now = 0;
 
   constructor(private readonly context: TestContext) {
@@ -56,22 +57,22 @@
   }
 }
 
-/** The fleet as one member sees it. */
+/** The daemons of a fleet, and the one member that they use. */
 class Fleet {
   readonly member = new ModelledMember(MODEL);
   readonly #records = Array.from({ length: DAEMONS }, (_, index) => ({ name: `d${index}` }) as DaemonRecord);
   readonly #gateways = this.#records.slice(0, GATEWAYS);
-  readonly #pools = new Map(this.#gateways.map(({ name }) => [name, this.#pool(CONNECTIONS_EACH)]));
+  readonly #pools = new Map(this.#gateways.map(({ name }) => [name, this.#pool(CONNECTIONS_PER_GATEWAY)]));
   readonly #statusQuestions = new StatusQuestions();
-  answered = 0;
-  /** Statements that were answered within their objective. */
+  answeredStatusRequests = 0;
+  /** Statements answered within the latency objective. */
   inTime = 0;
-  #asked = 0;
+  #statementCount = 0;
 
-  constructor(private readonly time: Time) {}
+  constructor(private readonly time: TestClock) {}
 
-  /** Every daemon asks for the status, again and again. */
-  askForever(): void {
+  /** Makes every daemon request the status periodically. */
+  pollStatusFromEveryDaemon(): void {
     for (const { name } of this.#records) {
       const member = this.#memberOf(name);
       const control = new MemberControl({
@@ -85,19 +86,19 @@
       });
       const ask = async (): Promise<void> => {
         const answer = await control.ask(member, { kind: 'status' }, STATUS_TIMEOUT_MS, true);
-        if (answer.kind === 'answered') this.answered += 1;
+        if (answer.kind === 'answered') this.answeredStatusRequests += 1;
         control.closeIdleConnections();
-        setTimeout(() => void ask(), QUESTION_EACH_MS);
+        setTimeout(() => void ask(), STATUS_INTERVAL_MS);
       };
       setTimeout(() => void ask(), (Number(name.slice(1)) * 300) / DAEMONS);
     }
   }
 
-  /** One statement through the gateways in turn. */
-  async request(): Promise<void> {
-    const pool = [...this.#pools.values()][this.#asked++ % GATEWAYS];
+  /** Sends one statement, through the gateways in turn. */
+  async sendStatement(): Promise<void> {
+    const pool = [...this.#pools.values()][this.#statementCount++ % GATEWAYS];
     if (pool === undefined) return;
-    const dueAtMs = this.time.now + OBJECTIVE_MS;
+    const dueAtMs = this.time.now + LATENCY_OBJECTIVE_MS;
     const demand = {
       tenantName: null,
       values: new Map<string, string>(),
@@ -106,22 +107,25 @@
       dueAtMs,
     };
     try {
-      const link = await pool.acquire(demand, OBJECTIVE_MS);
+      const link = await pool.acquire(demand, LATENCY_OBJECTIVE_MS);
       const reply = await link.send({ kind: 'statement', requestId: 'r', payload: 'READ x', after: null });
       pool.release(link);
       if (reply.result.isComplete && this.time.now <= dueAtMs) this.inTime += 1;
     } catch {
-      // No connection came free in time: the client is told so.
+      // No connection became free in time; the client receives an error.
     }
   }
 
-  /** Plays a load; gives the statements that the member answered, and those answered in time. */
-  async load(perSecond: number, ms: number): Promise<{ readonly served: number; readonly inTime: number }> {
+  /** Applies a load; returns how many statements the member answered, and how many of them in time. */
+  async applyLoad(
+    perSecond: number,
+    ms: number,
+  ): Promise<{ readonly served: number; readonly inTime: number }> {
     const before = { served: this.member.served, inTime: this.inTime };
     let due = 0;
     for (let step = 0; step < ms; step += 1) {
       due += perSecond / 1000;
-      for (; due >= 1; due -= 1) void this.request();
+      for (; due >= 1; due -= 1) void this.sendStatement();
       await this.time.advance(1);
       for (const pool of this.#pools.values()) pool.trim();
     }
@@ -130,17 +134,17 @@
 
   #memberOf(name: string): Member {
     const pool = this.#pools.get(name) ?? this.#pool(0);
-    const lend = {
+    const gatewayClient = {
       choose: () => this.#gateways[0] ?? null,
-      borrow: (record: DaemonRecord) => this.#lend(record),
+      borrow: (record: DaemonRecord) => this.#openLoan(record),
     };
     const connections = new MemberConnections({
       groupName: ENTRY.groupName,
       memberId: ENTRY.memberId,
       bornMs: () => null,
       pool,
-      gatewayClient: lend as unknown as GatewayClient,
-      assignment: () => ({ gateways: this.#gateways, standbys: [], budget: CONNECTIONS_EACH }),
+      gatewayClient: gatewayClient as unknown as GatewayClient,
+      assignment: () => ({ gateways: this.#gateways, standbys: [], budget: CONNECTIONS_PER_GATEWAY }),
       tenantShare: () => 1,
       fallbackLenders: () => this.#records,
       ownName: name,
@@ -148,7 +152,7 @@
     return new Member(ENTRY, connections);
   }
 
-  #lend({ name }: DaemonRecord): SessionLink {
+  #openLoan({ name }: DaemonRecord): SessionLink {
     const pool = this.#pools.get(name);
     const send: SessionLink['send'] = () =>
       pool === undefined ? Promise.reject(new Error('no gateway')) : this.#statusQuestions.ask(pool);
@@ -171,29 +175,32 @@
   }
 }
 
-test('a fleet that starts at once learns what it asks, and leaves the member its slots', async (context) => {
-  const time = new Time(context);
+test('the status requests of a fleet that starts at once are answered, and few connections are opened', async (context) => {
+  const time = new TestClock(context);
   const fleet = new Fleet(time);
-  fleet.askForever();
+  fleet.pollStatusFromEveryDaemon();
   await time.advance(2000);
-  assert.ok(fleet.answered > DAEMONS, `answered: ${fleet.answered}`);
-  assert.ok(fleet.member.dials <= GATEWAYS * CONNECTIONS_EACH, `connections begun: ${fleet.member.dials}`);
+  assert.ok(fleet.answeredStatusRequests > DAEMONS, `answered: ${fleet.answeredStatusRequests}`);
+  assert.ok(
+    fleet.member.dials <= GATEWAYS * CONNECTIONS_PER_GATEWAY,
+    `connections begun: ${fleet.member.dials}`,
+  );
 });
 
-test('at five times its load a member serves nine tenths of its best', async (context) => {
-  const fleet = new Fleet(new Time(context));
-  fleet.askForever();
-  await fleet.load(5 * BEST_PER_S, 1000);
-  const { served } = await fleet.load(5 * BEST_PER_S, 3000);
-  assert.ok(served >= 0.9 * 3 * BEST_PER_S, `served: ${served} of ${Math.round(3 * BEST_PER_S)}`);
+test('at five times its capacity a member still answers nine tenths of it', async (context) => {
+  const fleet = new Fleet(new TestClock(context));
+  fleet.pollStatusFromEveryDaemon();
+  await fleet.applyLoad(5 * CAPACITY_PER_S, 1000);
+  const { served } = await fleet.applyLoad(5 * CAPACITY_PER_S, 3000);
+  assert.ok(served >= 0.9 * 3 * CAPACITY_PER_S, `served: ${served} of ${Math.round(3 * CAPACITY_PER_S)}`);
 });
 
-test('two seconds after a pulse all is served in time again', async (context) => {
-  const fleet = new Fleet(new Time(context));
-  fleet.askForever();
-  await fleet.load(0.6 * BEST_PER_S, 1000);
-  await fleet.load(5 * BEST_PER_S, 2000);
-  await fleet.load(0.6 * BEST_PER_S, 2000);
-  const { inTime } = await fleet.load(0.6 * BEST_PER_S, 2000);
-  assert.ok(inTime >= 0.98 * 2 * 0.6 * BEST_PER_S, `in time: ${inTime}`);
+test('two seconds after a load spike statements are answered in time again', async (context) => {
+  const fleet = new Fleet(new TestClock(context));
+  fleet.pollStatusFromEveryDaemon();
+  await fleet.applyLoad(0.6 * CAPACITY_PER_S, 1000);
+  await fleet.applyLoad(5 * CAPACITY_PER_S, 2000);
+  await fleet.applyLoad(0.6 * CAPACITY_PER_S, 2000);
+  const { inTime } = await fleet.applyLoad(0.6 * CAPACITY_PER_S, 2000);
+  assert.ok(inTime >= 0.98 * 2 * 0.6 * CAPACITY_PER_S, `in time: ${inTime}`);
 });
--- a/test/integration/drain-timeout.test.ts
+++ b/test/integration/drain-timeout.test.ts
@@ -1,11 +1,9 @@
 /**
- * A daemon whose drain is over before the answer to a request has come.
+ * Guards against a wrong verdict for a write when the drain of a daemon times out.
  *
- * Users were told "the daemon is stopping" with the verdict `not_run` for a write that was then found to be kept. The daemon had
- * handed it to the owner of the database, whose answer was on its way when the drain ended, and the goodbye was the same whether
- * something ran or not.
- *
- * Evidence: `FATAL 57P01 verdict=not_run` as the only answer, and the row at the member.
+ * The daemon forwards the write to the owner of the database, and the drain ends while the owner's reply is
+ * in transit. If the closing error does not depend on whether a request is outstanding, the client receives
+ * `FATAL 57P01 verdict=not_run` as the only reply, although the member has stored the row.
  */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
@@ -14,7 +12,7 @@
 import { waitUntil } from '../../standin/rig/wait-until.js';
 import { connectTo, startDeployment } from '../support/experiment.js';
 
-/** Longer than the drain, in milliseconds. */
+/** Longer than the drain timeout, in milliseconds. */
 const ANSWER_DELAY_MS = 2000;
 
 let deployment: Deployment;
@@ -24,7 +22,7 @@
 });
 after(() => deployment.stop());
 
-test('a write that the owner has run is not promised to be undone', async () => {
+test('a write that the owner may have run is not reported as not run', async () => {
   const owner = await deployment.waitForOwner('quotes');
   const primary = (await deployment.findPrimary('quotes')) ?? '';
   const busyZones = [zoneOf(owner), deployment.members.get(primary)?.zone];
@@ -36,7 +34,7 @@
     () => assert.fail('answered'),
     (error: unknown) => error,
   );
-  await waitUntil('the write to be kept', async () => {
+  await waitUntil('the write to be stored', async () => {
     const { rowCount } = await reader.query("SELECT * FROM record WHERE key = 'handed'");
     return rowCount === 1;
   });
--- a/test/integration/faults-under-load.test.ts
+++ b/test/integration/faults-under-load.test.ts
@@ -1,5 +1,5 @@
 /**
- * The properties under faults, with a load that moves between daemons and an independent checker.
+ * Consistency under faults: a load that moves between daemons, and an independent checker of its history.
  *
  * @packageDocumentation
  */
@@ -10,11 +10,11 @@
 import type { LoadGenerator } from '../../bench/load/load-generator.js';
 
 const REPLICA_LAG_MS = 300;
-const PROGRESS = 15;
+const PROGRESS_OPERATIONS = 15;
 
 let deployment: Deployment;
 let load: LoadGenerator;
-let run = 0;
+let runNumber = 0;
 
 before(async () => {
   deployment = await startDeployment({
@@ -25,10 +25,10 @@
 after(() => deployment.stop());
 
 beforeEach(async () => {
-  run += 1;
-  load = createLoad(deployment, { name: `run${run}`, seed: 1000 * run });
+  runNumber += 1;
+  load = createLoad(deployment, { name: `run${runNumber}`, seed: 1000 * runNumber });
   load.start();
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
 });
 
 afterEach(async () => {
@@ -37,7 +37,7 @@
 });
 
 test('replicas behind, no further fault', async () => {
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
 
@@ -45,22 +45,22 @@
   const owner = await deployment.waitForOwner('quotes');
   await deployment.child(owner).kill();
   await deployment.waitForOwner('quotes', owner);
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   deployment.startDaemon(owner);
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
 
-test('the owner is paused until another has taken over, then resumes unaware', async () => {
+test('the owner is paused until another has taken over, then resumed', async () => {
   const owner = await deployment.waitForOwner('quotes');
   deployment.child(owner).signal('SIGSTOP');
   try {
     await deployment.waitForOwner('quotes', owner);
-    await waitForProgress(load, PROGRESS);
+    await waitForProgress(load, PROGRESS_OPERATIONS);
   } finally {
     deployment.child(owner).signal('SIGCONT');
   }
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
 
@@ -72,7 +72,7 @@
     const found = await deployment.findPrimary('quotes');
     return found !== null && found !== primary;
   });
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
 
@@ -80,7 +80,7 @@
   const primary = (await deployment.findPrimary('quotes')) ?? '';
   const zone = deployment.members.get(primary)?.zone ?? '';
   for (const other of deployment.zones) if (other !== zone) deployment.proxy.cutOneWay(zone, other);
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
 
@@ -89,16 +89,16 @@
   const owner = await deployment.waitForOwner('quotes');
   await deployment.child(owner).kill();
   await deployment.waitForOwner('quotes', owner);
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await deployment.setStoreFaults({ down: false });
   deployment.startDaemon(owner);
   await assertNoViolations(deployment, load);
 });
 
-test('answers are seconds late between two zones', async () => {
+test('replies are delayed by seconds between two zones', async () => {
   const [first = '', second = ''] = deployment.zones;
   deployment.proxy.setDelay(first, second, 1500);
   deployment.proxy.setDelay(second, first, 1500);
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
--- a/test/integration/isolation.test.ts
+++ b/test/integration/isolation.test.ts
@@ -1,5 +1,5 @@
 /**
- * Transactions, answers and verdicts on shared connections, while clients and daemons vanish.
+ * Isolation of transactions, replies and verdicts on pooled connections while clients and daemons fail.
  *
  * @packageDocumentation
  */
@@ -32,21 +32,21 @@
 });
 after(() => deployment.stop());
 
-async function rolesOfDaemons(): Promise<{ readonly owner: string; readonly other: string }> {
+async function findOwnerAndOther(): Promise<{ readonly owner: string; readonly other: string }> {
   const owner = await deployment.waitForOwner('quotes');
   const other = [...deployment.daemons.keys()].find((daemonId) => daemonId !== owner) ?? '';
   return { owner, other };
 }
 
 async function readVersion(key: string): Promise<number | null> {
-  const client = await connectTo(deployment, (await rolesOfDaemons()).other);
+  const client = await connectTo(deployment, (await findOwnerAndOther()).other);
   const result = await client.query<{ version: number }>('SELECT version FROM record WHERE key = $1', [key]);
   await client.end();
   return result.rows[0]?.version ?? null;
 }
 
-test('what a client left open when it vanished is rolled back, and its connection is clean', async () => {
-  const { owner, other } = await rolesOfDaemons();
+test('the open transaction of a client that disconnects is rolled back, and its pooled connection is clean', async () => {
+  const { owner, other } = await findOwnerAndOther();
   for (const daemonId of [owner, other]) {
     const client = await RawClient.start(deployment.clientAddress(daemonId));
     client.socket.write(serialize.query("BEGIN; INSERT INTO record VALUES ('vanished', 1, 'write/v')"));
@@ -61,8 +61,8 @@
   }
 });
 
-test('the daemon that held the client is killed in mid-transaction: the transaction is rolled back', async () => {
-  const { other } = await rolesOfDaemons();
+test('the daemon of the client is killed in mid-transaction: the transaction is rolled back', async () => {
+  const { other } = await findOwnerAndOther();
   const client = await connectTo(deployment, other);
   await client.query('BEGIN');
   await client.query("INSERT INTO record VALUES ('entry-killed', 1, 'write/e')");
@@ -78,8 +78,8 @@
   );
 });
 
-test('the owner is killed in mid-transaction: nothing of it has run, and the client can go on', async () => {
-  const { owner, other } = await rolesOfDaemons();
+test('the owner is killed in mid-transaction: nothing of it has run, and the client can continue', async () => {
+  const { owner, other } = await findOwnerAndOther();
   const client = await connectTo(deployment, other);
   await client.query('BEGIN');
   await client.query("INSERT INTO record VALUES ('owner-killed', 1, 'write/o')");
@@ -95,7 +95,7 @@
 });
 
 test('a request past its deadline is answered at once, and its late answer reaches nobody', async () => {
-  const { owner, other } = await rolesOfDaemons();
+  const { owner, other } = await findOwnerAndOther();
   for (const daemonId of [owner, other]) {
     const clients = await Promise.all([1, 2, 3, 4, 5, 6].map(() => connectTo(deployment, daemonId)));
     for (let round = 0; round < 5; round += 1) {
@@ -111,21 +111,21 @@
   }
 });
 
-/** Ran past its deadline, or found no free slot before it. */
+/** True when the request exceeded its deadline, or got no slot before it. */
 function isOverdue(error: { readonly code: string; readonly detail: string }): boolean {
   const { code, detail } = error;
   if (code === '57014') return detail === 'verdict=may_have_run';
   return ['57P03', '53300'].includes(code) && detail === 'verdict=not_run';
 }
 
-test('a client that disconnects in mid-answer disturbs no other', async () => {
-  const { other } = await rolesOfDaemons();
+test('a client that disconnects in mid-reply does not affect others', async () => {
+  const { other } = await findOwnerAndOther();
   const steady = await connectTo(deployment, other);
   for (let round = 0; round < 10; round += 1) {
-    const leaver = await RawClient.start(deployment.clientAddress(other));
-    leaver.socket.write(serialize.query("SELECT repeat('x', 1000) FROM generate_series(1, 1000)"));
-    await leaver.waitForType('D', 1);
-    leaver.socket.destroy();
+    const disconnecting = await RawClient.start(deployment.clientAddress(other));
+    disconnecting.socket.write(serialize.query("SELECT repeat('x', 1000) FROM generate_series(1, 1000)"));
+    await disconnecting.waitForType('D', 1);
+    disconnecting.socket.destroy();
     const result = await steady.query(`SELECT '${round}' AS mark`);
     assert.deepEqual(result.rows, [{ mark: String(round) }]);
   }
@@ -133,7 +133,7 @@
 });
 
 test('a hundred pipelined extended requests in frames split anywhere are answered in order', async () => {
-  const { owner, other } = await rolesOfDaemons();
+  const { owner, other } = await findOwnerAndOther();
   for (const daemonId of [owner, other]) {
     const client = await RawClient.start(deployment.clientAddress(daemonId));
     const requests = Array.from({ length: 100 }, (_, i) =>
@@ -178,7 +178,7 @@
   }
 });
 
-test('an answer from the owner is lost after a once-only write: asking again tells that it ran', async () => {
+test('the reply of the owner to a once-only write is lost: a retry reports that it ran', async () => {
   const owner = await deployment.waitForOwner('quotes');
   const ownerZone = deployment.daemons.get(owner)?.zone ?? '';
   const primaryZone = deployment.members.get((await deployment.findPrimary('quotes')) ?? '')?.zone ?? '';
@@ -191,7 +191,7 @@
     () => 'ok',
     (error: { detail?: string }) => error.detail ?? 'unknown',
   );
-  await waitUntil('the write to be there', async () => {
+  await waitUntil('the write to be stored', async () => {
     const direct = await connectTo(deployment, owner);
     const found = await direct
       .query("SELECT version FROM record WHERE key = 'lost-answer'")
@@ -206,7 +206,7 @@
   await Promise.all([client.end(), again.end()]);
 });
 
-test('a statement on a member that is cut off is given up when the member falls silent, not at its deadline', async () => {
+test('a statement on a member that is cut off fails when the member stops answering, not at its deadline', async () => {
   const primary = (await deployment.findPrimary('quotes')) ?? '';
   const primaryZone = deployment.members.get(primary)?.zone ?? '';
   const entry = [...deployment.daemons.values()].find(({ zone }) => zone !== primaryZone)?.id ?? '';
@@ -221,8 +221,8 @@
   await client.end();
 });
 
-test('bad input ends only the connection that sent it', async () => {
-  const { other } = await rolesOfDaemons();
+test('malformed input closes only the connection that sent it', async () => {
+  const { other } = await findOwnerAndOther();
   const address = deployment.clientAddress(other);
   const steady = await connectTo(deployment, other);
 
@@ -254,7 +254,7 @@
   for (let i = 0; i < 20; i += 1) {
     neverReads.socket.write(serialize.query("SELECT repeat('x', 1000) FROM generate_series(1, 1000)"));
   }
-  await waitUntil('the client that never reads to be cut', async () => {
+  await waitUntil('the client that never reads to be disconnected', async () => {
     return (await deployment.status(other)).clientConnections === 1;
   });
   const result = await steady.query("SELECT 'fine' AS mark");
--- a/test/integration/leaving.test.ts
+++ b/test/integration/leaving.test.ts
@@ -1,5 +1,5 @@
 /**
- * Planned departures: a member that leaves gets no new work, a daemon that stops cuts nothing.
+ * Planned departures: a member that leaves gets no new work, and a daemon that stops interrupts no request.
  *
  * @packageDocumentation
  */
@@ -17,32 +17,32 @@
 } from '../support/experiment.js';
 import { countStatements } from '../support/member-counters.js';
 
-const PROGRESS = 10;
+const PROGRESS_OPERATIONS = 10;
 
 let deployment: Deployment;
 let load: LoadGenerator;
-let run = 0;
+let runNumber = 0;
 
 before(async () => {
   deployment = await startDeployment({ networkId: 15, machineListLagMs: 1000 });
 });
 after(() => deployment.stop());
 beforeEach(async () => {
-  run += 1;
-  load = createLoad(deployment, { name: `run${run}`, seed: 77 * run });
+  runNumber += 1;
+  load = createLoad(deployment, { name: `run${runNumber}`, seed: 77 * runNumber });
   load.start();
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
 });
 afterEach(() => load.stop());
 
-/** Outcomes that a planned stop must not cause. */
-function cutOperations(): readonly string[] {
+/** Operations with an outcome that a planned stop must not cause. */
+function interruptedOperations(): readonly string[] {
   return load.operations
     .filter(({ outcome }) => outcome === 'unknown' || outcome === 'may_have_run' || outcome === 'error')
     .map(({ operationId, outcome, sqlState }) => `${operationId} ${outcome} ${sqlState}`);
 }
 
-test('a stop of the owner drains transactions and forwarded requests and cuts nothing', async () => {
+test('a stop of the owner drains transactions and forwarded requests and interrupts none', async () => {
   const owner = await deployment.waitForOwner('quotes');
   const other = [...deployment.daemons.keys()].find((daemonId) => daemonId !== owner) ?? '';
   const client = await connectTo(deployment, other);
@@ -56,48 +56,48 @@
   await client.end();
   assert.equal(await deployment.child(owner).waitForExit(), 0);
   await deployment.waitForOwner('quotes', owner);
-  await waitForProgress(load, PROGRESS);
-  assert.deepEqual(cutOperations(), []);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
+  assert.deepEqual(interruptedOperations(), []);
   deployment.startDaemon(owner);
   await assertNoViolations(deployment, load);
 });
 
-test('a stop of a daemon while the store is down cuts nothing', async () => {
+test('a stop of a daemon while the store is down interrupts no request', async () => {
   await deployment.setStoreFaults({ down: true });
   const daemonId = 'zone-c-d1';
   deployment.child(daemonId).signal('SIGTERM');
   assert.equal(await deployment.child(daemonId).waitForExit(), 0);
-  assert.deepEqual(cutOperations(), []);
+  assert.deepEqual(interruptedOperations(), []);
   await deployment.setStoreFaults({ down: false });
   deployment.startDaemon(daemonId);
-  await waitForProgress(load, PROGRESS);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
 
 test('a member that the machine list says is leaving gets no new work', async () => {
   await deployment.setMachineState('quotes-3', 'leaving');
-  await waitForQuiet('quotes-3');
+  await waitForNoNewWork('quotes-3');
   await deployment.setMachineState('quotes-3', 'live');
   await assertNoViolations(deployment, load);
 });
 
-test('a primary that says it is leaving gets no new work, and another leads', async () => {
+test('a primary that reports that it is leaving gets no new work, and another one is promoted', async () => {
   const primary = (await deployment.findPrimary('quotes')) ?? '';
   deployment.child(primary).signal('SIGTERM');
   await waitUntil('another primary', async () => {
     const found = await deployment.findPrimary('quotes');
     return found !== null && found !== primary;
   });
-  await waitForQuiet(primary);
-  await waitForProgress(load, PROGRESS);
+  await waitForNoNewWork(primary);
+  await waitForProgress(load, PROGRESS_OPERATIONS);
   await assertNoViolations(deployment, load);
 });
 
-/** Waits until a member executes nothing for callers while the load makes progress. */
-async function waitForQuiet(memberId: string): Promise<void> {
+/** Waits until a member executes no client statements while the load makes progress. */
+async function waitForNoNewWork(memberId: string): Promise<void> {
   await waitUntil(`no new work at ${memberId}`, async () => {
     const before = await countStatements(deployment, memberId);
-    await waitForProgress(load, PROGRESS);
+    await waitForProgress(load, PROGRESS_OPERATIONS);
     return (await countStatements(deployment, memberId)) === before;
   });
 }
--- a/test/integration/paused-daemon.test.ts
+++ b/test/integration/paused-daemon.test.ts
@@ -1,5 +1,5 @@
 /**
- * Daemons that are paused and resume unaware.
+ * Daemons whose process is stopped by a signal and later continues.
  *
  * @packageDocumentation
  */
@@ -15,9 +15,9 @@
 import { errorField, RawClient } from '../support/raw-client.js';
 
 const CONNECTION_LIMIT = 9;
-/** Connections that the daemons keep for callers: the limit without three for control. */
+/** Connections for clients: the limit less the three that are reserved for control. */
 const POOL_SIZE = 6;
-/** Longer than the gap that counts as a pause. */
+/** Longer than the gap from which a daemon detects a pause, in milliseconds. */
 const PAUSE_MS = 1500;
 
 let deployment: Deployment;
@@ -76,19 +76,19 @@
 });
 
 test('a transaction that its paused owner has lost is not continued outside a transaction', async () => {
-  const alone = await startDeployment({ networkId: 19, zones: ['only'] });
+  const singleDaemon = await startDeployment({ networkId: 19, zones: ['only'] });
   try {
-    const client = await connectTo(alone, 'only-d1');
+    const client = await connectTo(singleDaemon, 'only-d1');
     await client.query('BEGIN');
     await client.query("INSERT INTO record VALUES ('first half', 1)");
-    alone.child('only-d1').signal('SIGSTOP');
+    singleDaemon.child('only-d1').signal('SIGSTOP');
     await waitUntil(
-      'the member to end the silent owner',
-      async () => !(await hasControlSession(alone, 'quotes-1')),
+      'the member to end the session of the stopped owner',
+      async () => !(await hasControlSession(singleDaemon, 'quotes-1')),
     );
-    alone.child('only-d1').signal('SIGCONT');
+    singleDaemon.child('only-d1').signal('SIGCONT');
     await waitUntil('the daemon to own the database again', async () => {
-      return alone.child('only-d1').log.split('event=lease_acquired').length === 3;
+      return singleDaemon.child('only-d1').log.split('event=lease_acquired').length === 3;
     });
     const lost = { code: '08006', detail: 'verdict=not_run' };
     await assert.rejects(client.query("INSERT INTO record VALUES ('second half', 1)"), lost);
@@ -97,12 +97,12 @@
     assert.deepEqual(result.rows, []);
     await client.end();
   } finally {
-    await alone.stop();
+    await singleDaemon.stop();
   }
 });
 
-/** True while an owner watches the member. */
-async function hasControlSession(where: Deployment, memberId: string): Promise<boolean> {
+/** True while an owner has a control session on the member. */
+async function hasControlSession(target: Deployment, memberId: string): Promise<boolean> {
   const text = "SELECT pid FROM pg_stat_activity WHERE application_name = 'sorrelladder-control'";
-  return (await askMember(where, memberId, text)).rows.length > 0;
+  return (await askMember(target, memberId, text)).rows.length > 0;
 }
--- a/test/integration/read-your-writes.test.ts
+++ b/test/integration/read-your-writes.test.ts
@@ -1,5 +1,6 @@
 /**
- * A session's next read shows its write, with replicas far behind, through daemons that know nothing of it.
+ * A session's next read returns its write, with a large replication lag, also through daemons that do not
+ * know the session.
  *
  * @packageDocumentation
  */
@@ -8,7 +9,7 @@
 import type { Deployment } from '../../standin/rig/deployment.js';
 import { connectTo, startDeployment } from '../support/experiment.js';
 
-/** Longer than any take-over in these tests lasts. */
+/** Longer than any failover in these tests, in milliseconds. */
 const REPLICA_LAG_MS = 20_000;
 const SESSION = '-c sorrelladder.session=agent-1 -c sorrelladder.class=lookup';
 
@@ -33,17 +34,17 @@
   await client.end();
 }
 
-async function assertSeenThrough(daemonId: string): Promise<void> {
+async function assertWriteVisibleThrough(daemonId: string): Promise<void> {
   const client = await connectTo(deployment, daemonId, 'quotes', SESSION);
   const result = await client.query<{ version: number }>("SELECT version FROM record WHERE key = 'mine'");
   await client.end();
   assert.equal(result.rows[0]?.version, version);
 }
 
-test('the next read through every daemon shows the write', async () => {
+test('the next read through every daemon returns the write', async () => {
   for (const daemonId of deployment.daemons.keys()) {
     await writeThrough(daemonId);
-    for (const other of deployment.daemons.keys()) await assertSeenThrough(other);
+    for (const other of deployment.daemons.keys()) await assertWriteVisibleThrough(other);
   }
 });
 
@@ -52,9 +53,9 @@
   await writeThrough(owner);
   await deployment.child(owner).kill();
   const rest = [...deployment.daemons.keys()].filter((daemonId) => daemonId !== owner);
-  for (const other of rest) await assertSeenThrough(other);
+  for (const other of rest) await assertWriteVisibleThrough(other);
   await deployment.restartDaemon(owner);
-  await assertSeenThrough(owner);
+  await assertWriteVisibleThrough(owner);
 });
 
 test('the store is down, and the daemon that reads has just started', async () => {
@@ -64,13 +65,13 @@
   await writeThrough(owner);
   await deployment.child(restarted).kill();
   await deployment.restartDaemon(restarted);
-  await assertSeenThrough(restarted);
+  await assertWriteVisibleThrough(restarted);
   await deployment.setStoreFaults({ down: false });
 });
 
-test('the primary is killed: the next read shows what it had acknowledged', async () => {
+test('the primary is killed: the next read returns what it had acknowledged', async () => {
   await writeThrough('zone-a-d1');
   const primary = (await deployment.findPrimary('quotes')) ?? '';
   await deployment.child(primary).kill();
-  for (const daemonId of deployment.daemons.keys()) await assertSeenThrough(daemonId);
+  for (const daemonId of deployment.daemons.keys()) await assertWriteVisibleThrough(daemonId);
 });
--- a/test/integration/whole-path.test.ts
+++ b/test/integration/whole-path.test.ts
@@ -1,5 +1,5 @@
 /**
- * The whole path: client, daemon, member, as separate processes.
+ * End to end: client, daemon and member as separate processes.
  *
  * @packageDocumentation
  */
