--- a/test/support/experiment.ts
+++ b/test/support/experiment.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a load over a deployment while a test brings faults about, then has the history checked.
+ * Runs a load on a deployment while a test injects faults, then checks the history.
  *
  * @packageDocumentation
  */
@@ -11,7 +11,7 @@
 import { Deployment, type DeploymentOptions } from '../../standin/rig/deployment.js';
 import { waitUntil } from '../../standin/rig/wait-until.js';
 
-/** Lets lookups go to replicas, and gives up soon, so that a cut does not hold the load up for long. */
+/** Routes lookups to replicas. Short deadlines keep a partition from blocking the load for long. */
 export const LOOKUP_POLICY = `
 rules:
   - name: lookups
@@ -34,7 +34,7 @@
   return deployment;
 }
 
-/** Opens a client at a daemon. */
+/** Connects a client to a daemon. */
 export async function connectTo(
   deployment: Deployment,
   daemonId: string,
@@ -48,7 +48,7 @@
   return client;
 }
 
-/** A load over all daemons of a deployment. */
+/** Creates a load that uses all daemons of a deployment. */
 export function createLoad(deployment: Deployment, options: Partial<LoadOptions>): LoadGenerator {
   const targets = [...deployment.daemons.keys()].map((daemonId) => ({
     daemonId,
@@ -67,7 +67,7 @@
   });
 }
 
-/** Waits until the load has had a number of further writes and reads acknowledged. */
+/** Waits until `count` further operations of each kind have been acknowledged. */
 export async function waitForProgress(load: LoadGenerator, count: number): Promise<void> {
   const sinceMs = performance.now();
   await waitUntil(`${count} acknowledged operations of each kind`, () =>
@@ -77,7 +77,10 @@
   );
 }
 
-/** Stops the load, heals everything, waits until the groups agree, and asserts that nothing was violated. */
+/**
+ * Stops the load, heals the network, waits until the groups converge, and asserts a history without
+ * violations.
+ */
 export async function assertNoViolations(deployment: Deployment, load: LoadGenerator): Promise<void> {
   await load.stop();
   deployment.proxy.heal();
@@ -93,7 +96,7 @@
 
 /** Waits until the running members of each group hold the same log. */
 export async function waitForConvergence(deployment: Deployment): Promise<void> {
-  await waitUntil('the members to agree', async () => {
+  await waitUntil('the members to converge', async () => {
     const members = await collectMembers(deployment);
     return deployment.options.databases.every((database) => {
       const group = members.filter((member) => member.database === database);
--- a/test/support/fake-link.ts
+++ b/test/support/fake-link.ts
@@ -1,5 +1,5 @@
 /**
- * A connection to a member that does what a test says.
+ * A fake connection to a member, controlled by the test.
  *
  * @packageDocumentation
  */
@@ -10,7 +10,7 @@
   type MemberRequest,
 } from '../../src/relay/member-link.js';
 
-/** A connection that answers at once, and keeps what it was sent. */
+/** A connection that answers at once and records the requests sent on it. */
 export class FakeLink implements MemberLink {
   isOpen = true;
   lastReceivedMs = 0;
@@ -18,7 +18,7 @@
   refuseNext = false;
   #onClosed: ((isByPeer: boolean) => void) | null = null;
 
-  /** @param tenantName - whom it was opened for */
+  /** @param tenantName - tenant for which the connection was opened */
   constructor(readonly tenantName = '') {}
 
   send(request: MemberRequest): Promise<MemberReply> {
--- a/test/support/files.ts
+++ b/test/support/files.ts
@@ -1,5 +1,5 @@
 /**
- * File look-ups for the test runner.
+ * Finds files for the test runner.
  *
  * @packageDocumentation
  */
@@ -8,7 +8,7 @@
 
 export { existsSync, readFileSync } from 'node:fs';
 
-/** Files below a directory whose names match, in order. */
+/** Paths below a directory that match a pattern, sorted. */
 export function globSync(directory: string, pattern: RegExp): string[] {
   return readdirSync(directory, { recursive: true, encoding: 'utf8' })
     .filter((name) => pattern.test(name))
--- a/test/support/listed-members.ts
+++ b/test/support/listed-members.ts
@@ -1,5 +1,5 @@
 /**
- * A directory of members with real pools, whose entries, clock and connections a test sets.
+ * A member directory with real connection pools; the test controls its entries, clock and connections.
  *
  * @packageDocumentation
  */
@@ -11,12 +11,12 @@
 import { Member, MemberGroup, type MemberEntry } from '../../src/topology/member-group.js';
 import { FakeLink } from './fake-link.js';
 
-/** How long a member that leaves may still be given work, in milliseconds. */
+/** Time for which a member that leaves may still get work, in milliseconds. */
 export const LEAVE_MS = 4000;
-/** Time between two signs of life of a member, in milliseconds. */
+/** Interval between two heartbeats of a member, in milliseconds. */
 export const HEARTBEAT_MS = 500;
-/** Longest wait for a connection, in milliseconds: the dialer answers at once. */
-const ACQUIRE_MS = 1000;
+/** Timeout for acquiring a connection, in milliseconds; the dialer of the tests connects at once. */
+const ACQUIRE_TIMEOUT_MS = 1000;
 
 const ENTRY: MemberEntry = {
   memberId: 'm',
@@ -30,27 +30,27 @@
   bornMs: 1000,
 };
 
-/** An entry of a directory: member `m` of group `g`, but for what is given. */
+/** A directory entry of member `m` in group `g`, with the given fields replaced. */
 export function entryOf(given: Partial<MemberEntry> = {}): MemberEntry {
   return { ...ENTRY, ...given };
 }
 
-/** A connection that was opened, and the address that it was opened to. */
+/** An opened connection and its port. */
 export interface Opened {
   readonly link: FakeLink;
   readonly port: number;
 }
 
-/** A directory and the groups that it fills. */
+/** A directory and the groups that it populates. */
 export class ListedMembers {
   readonly directory: MemberDirectory;
   readonly groups = new Map<string, MemberGroup>();
-  /** Every member that was ever given work, oldest first. */
+  /** All members that were created, oldest first. */
   readonly created: Member[] = [];
   readonly opened: Opened[] = [];
-  /** Ids whose own connections of the daemon were to be ended. */
+  /** Ids of the members whose control connections the directory has closed. */
   readonly forgotten: string[] = [];
-  /** Groups whose leader was in doubt. */
+  /** Names of the groups whose leader the directory reported as in doubt. */
   readonly doubted: string[] = [];
   readonly events: { readonly event: string; readonly details: Readonly<Record<string, unknown>> }[] = [];
   now = 0;
@@ -74,34 +74,34 @@
     this.now = 10 * HEARTBEAT_MS;
   }
 
-  /** Watches a group from now on. */
+  /** Adds a group, with its listed members. */
   watch(name: string): void {
     const group = new MemberGroup(name);
     this.groups.set(name, group);
     this.directory.addListedMembers(group);
   }
 
-  /** A group by its name. */
+  /** Returns a group by name. */
   group(name = 'g'): MemberGroup {
     const group = this.groups.get(name);
     if (group === undefined) throw new Error(`no group ${name}`);
     return group;
   }
 
-  /** A member that is given work. */
+  /** Returns a member that may get work. */
   member(memberId = 'm', groupName = 'g'): Member {
     const member = this.group(groupName).members.get(memberId);
     if (member === undefined) throw new Error(`${memberId} is not in ${groupName}`);
     return member;
   }
 
-  /** Lets time pass, and looks at all groups after it. */
+  /** Advances the clock, then checks all groups. */
   pass(ms: number): void {
     this.now += ms;
     for (const group of this.groups.values()) this.directory.check(group);
   }
 
-  /** Takes a connection of a member for use. */
+  /** Acquires a connection of a member. */
   async use(member: Member): Promise<SessionLink> {
     const demand = {
       tenantName: null,
@@ -110,10 +110,10 @@
       priority: 1,
       dueAtMs: Number.POSITIVE_INFINITY,
     };
-    return member.pool.acquire(demand, ACQUIRE_MS);
+    return member.pool.acquire(demand, ACQUIRE_TIMEOUT_MS);
   }
 
-  /** What was logged under a name. */
+  /** Returns the details of all events logged under a name. */
   logged(event: string): readonly Readonly<Record<string, unknown>>[] {
     return this.events.filter((line) => line.event === event).map(({ details }) => details);
   }
--- a/test/support/member-counters.ts
+++ b/test/support/member-counters.ts
@@ -1,20 +1,20 @@
 /**
- * Counters of the member stand-ins.
+ * Reads the counters of simulated members.
  *
  * @packageDocumentation
  */
 import pg from 'pg';
 import type { Deployment } from '../../standin/rig/deployment.js';
 
-/** What a member has counted since its start. */
+/** Counters of a member since its start. */
 export interface MemberCounts {
-  /** Statements executed for callers. */
+  /** Statements executed for clients. */
   readonly statements: number;
   readonly highestConnections: number;
   readonly refusedConnections: number;
 }
 
-/** Asks a member directly. */
+/** Runs a query on a member directly, without a daemon. */
 export async function askMember<Row extends pg.QueryResultRow>(
   deployment: Deployment,
   memberId: string,
@@ -37,7 +37,7 @@
   return JSON.parse(result.rows[0]?.counters ?? '{}') as MemberCounts;
 }
 
-/** Statements that a member has executed for callers. */
+/** Number of statements that a member has executed for clients. */
 export async function countStatements(deployment: Deployment, memberId: string): Promise<number> {
   return (await readCounters(deployment, memberId)).statements;
 }
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -15,25 +15,25 @@
 import { isSameRevision, NO_REVISION, type Revision } from '../../src/coordination/revision.js';
 import { StoreEra } from '../../src/coordination/store-era.js';
 
-function firstEra(): StoreEra {
+function createFirstEra(): StoreEra {
   const era = new StoreEra();
   era.observe(0);
   return era;
 }
 
-/** A store in memory; a lease ends when the test says so. */
+/** A store in memory; leases end only when the test revokes or deletes them. */
 export class MemoryStore implements CoordinationStore {
   readonly items = new Map<string, StoredItem & { leaseId: number }>();
   readonly leases = new Set<number>();
-  readonly era = firstEra();
-  /** Number of the present revision. */
+  readonly era = createFirstEra();
+  /** Number of the current revision. */
   number = 1;
   isDown = false;
   watchAnswers: WatchResponse[] = [];
   lists = 0;
   reads = 0;
 
-  /** The present revision. */
+  /** The current revision. */
   get revision(): Revision {
     return { era: this.era.current, number: this.number };
   }
@@ -77,12 +77,12 @@
     return Promise.resolve({ kind: 'done', revision: this.revision });
   }
 
-  /** What the store holds, for {@link MemoryStore.comeBackFrom}. */
+  /** Takes a backup for {@link MemoryStore.comeBackFrom}. */
   copy(): { readonly items: ReadonlyMap<string, StoredItem & { leaseId: number }>; readonly number: number } {
     return { items: new Map(this.items), number: this.number };
   }
 
-  /** Comes back from a copy: the era rises, the revisions go back, and no lease is left. */
+  /** Restores a backup: the era increases, revision numbers go back, and all leases are lost. */
   comeBackFrom(copy: ReturnType<MemoryStore['copy']>): void {
     const era = this.era.current + 1;
     this.items.clear();
@@ -113,6 +113,7 @@
   }
 }
 
+/** Lets pending promise callbacks and immediates run. */
 export async function settle(): Promise<void> {
   for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/support/modelled-group.ts
+++ b/test/support/modelled-group.ts
@@ -1,6 +1,7 @@
 /**
- * A group of members as a model, with the daemons and the platform around it, for a supervisor under test: who receives
- * which commit, who is paused, who has ended, and what the platform does about a promotion.
+ * A model of a group of members, of the daemons and of the platform, for tests of a supervisor. It models
+ * which member receives which commit, which ones are paused or have ended, and how the platform handles a
+ * promotion.
  *
  * @packageDocumentation
  */
@@ -16,27 +17,28 @@
 
 /** Term of the first primary. */
 export const FIRST_TERM = 3;
-/** Time from the platform's acceptance of a promotion to its effect, in milliseconds. */
-const EFFECT_MS = 50;
-/** Time for which a dark member is waited for, in milliseconds. */
-const DARK_MS = 100;
-/** Time between two looks of {@link ModelledGroup.until}, in milliseconds, and how long it looks at most. */
-const LOOK_MS = 5;
-const LONGEST_MS = 20_000;
+/** Time from the acceptance of a promotion by the platform to its effect, in milliseconds. */
+const PROMOTION_EFFECT_MS = 50;
+/** Time after which a request to an unreachable member times out, in milliseconds. */
+const UNREACHABLE_TIMEOUT_MS = 100;
+/** Interval at which {@link ModelledGroup.until} checks for the event, in milliseconds. */
+const POLL_INTERVAL_MS = 5;
+/** Longest wait for an event, in milliseconds. */
+const MAX_WAIT_MS = 20_000;
 
 /** One member of the model. */
 export class GroupMember {
   isPrimary = false;
-  /** `ended`: it refuses connections; `dark`: it does not answer. */
+  /** `ended`: the member refuses connections; `dark`: it is unreachable, and requests time out. */
   state: 'running' | 'ended' | 'dark' = 'running';
-  /** Receives nothing, though it answers. */
+  /** True when the member receives no commits; it still answers requests. */
   isDeaf = false;
-  /** Silent to the holder of the duty alone. */
+  /** True when the member does not answer the holder of the duty, though it answers others. */
   isCutFromHolder = false;
   pausedForTerm = 0;
   term = FIRST_TERM;
   received: Position = { term: FIRST_TERM, index: 1 };
-  /** Questions for its status. */
+  /** Number of status requests received. */
   statuses = 0;
 
   constructor(
@@ -45,21 +47,21 @@
   ) {}
 }
 
-/** A group whose first member leads, and the supervisor that sees to it. */
+/** A group whose first member leads, and its supervisor. */
 export class ModelledGroup {
   readonly events: string[] = [];
-  /** Outcomes of the orders of the supervisor, by daemon. */
+  /** Outcome of the supervisor's orders, by name of the daemon that receives them. */
   readonly daemons = new Map<string, OrderOutcome>();
   readonly group = new MemberGroup('g');
   readonly supervisor: GroupSupervisor;
   readonly #members = new Map<string, GroupMember>();
-  /** What the platform does with a call; by default it accepts, and the member leads soon. */
+  /** Handles a call to the platform; by default it is accepted, and the member leads soon after. */
   platform: (memberId: string) => Promise<boolean> = (memberId) => {
-    setTimeout(() => this.lead(memberId), EFFECT_MS);
+    setTimeout(() => this.lead(memberId), PROMOTION_EFFECT_MS);
     return Promise.resolve(true);
   };
   isDutyHeld = true;
-  /** For how long the duty is held at any time, in milliseconds. */
+  /** Time for which the lease of the duty remains valid, in milliseconds; it does not decrease. */
   heldForMs = Number.POSITIVE_INFINITY;
 
   constructor(memberIds: readonly string[]) {
@@ -69,7 +71,7 @@
     this.group.evidence.observeLeader({ memberId: first.memberId, term: FIRST_TERM });
     this.supervisor = new GroupSupervisor(this.group, {
       control: {
-        ask: (member: Member, request: MemberRequest) => this.#ask(member, request),
+        ask: (member: Member, request: MemberRequest) => this.#answerRequest(member, request),
       } as unknown as MemberControl,
       promotion: {
         promote: (_group, memberId) => {
@@ -78,7 +80,7 @@
         },
       },
       heldFence: (reserveMs) => (this.isDutyHeld && reserveMs < this.heldForMs ? 1 : null),
-      order: (order, _timeoutMs, recipients) => this.#order(order, recipients),
+      order: (order, _timeoutMs, recipients) => this.#deliverOrder(order, recipients),
       connectedDaemonCount: () => 2,
       usesGateways: () => false,
       leaderPromoted: () => undefined,
@@ -113,7 +115,7 @@
     return member;
   }
 
-  /** The directory lists a member no longer, and it is given no more work. */
+  /** Removes a member from the directory; it gets no new work. */
   retire(memberId: string): void {
     const member = this.group.members.get(memberId);
     if (member === undefined) return;
@@ -122,7 +124,7 @@
     this.group.former.set(memberId, member);
   }
 
-  /** The primary writes a commit. True when a replica has received it: the primary then acknowledges it. */
+  /** The primary writes a commit. Returns true when a replica has received it, so that it is acknowledged. */
   commit(primary: GroupMember): boolean {
     primary.received = { term: primary.term, index: primary.received.index + 1 };
     const receivers = [...this.#members.values()].filter(
@@ -138,7 +140,7 @@
     return receivers.length > 0;
   }
 
-  /** The platform makes a member lead the next term. */
+  /** Makes a member the leader of the next term, as the platform does. */
   lead(memberId: string): void {
     const member = this.member(memberId);
     member.isPrimary = true;
@@ -147,7 +149,7 @@
     this.events.push(`leads ${memberId}`);
   }
 
-  /** Supervises until the event; fails if that takes long. */
+  /** Runs the supervisor until an event; fails after {@link MAX_WAIT_MS}. */
   async until(event: string): Promise<void> {
     const running = this.supervisor.run();
     await this.reached(event);
@@ -155,35 +157,38 @@
     await running;
   }
 
-  /** Supervises, with the leader doubted all the time; true when a promotion ends well within the time, in milliseconds. */
+  /**
+   * Runs the supervisor with a leader that is suspected all the time; returns true when a promotion completes
+   * within `ms`.
+   */
   async isLedWithin(ms: number): Promise<boolean> {
     const running = this.supervisor.run();
     const untilMs = performance.now() + ms;
     while (!this.events.includes('promotion_ends') && performance.now() < untilMs) {
       this.supervisor.suspect();
-      await delay(LOOK_MS);
+      await delay(POLL_INTERVAL_MS);
     }
     this.supervisor.stop();
     await running;
     return this.events.includes('promotion_ends');
   }
 
-  /** Waits for an event. */
+  /** Waits for an event; fails after {@link MAX_WAIT_MS}. */
   async reached(event: string): Promise<void> {
-    const deadlineMs = performance.now() + LONGEST_MS;
+    const deadlineMs = performance.now() + MAX_WAIT_MS;
     while (!this.events.includes(event)) {
       if (performance.now() > deadlineMs)
         throw new Error(`${event} was not reached: ${this.events.join(', ')}`);
-      await delay(LOOK_MS);
+      await delay(POLL_INTERVAL_MS);
     }
   }
 
-  #ask({ entry }: Member, request: MemberRequest): Promise<ControlAnswer> {
+  #answerRequest({ entry }: Member, request: MemberRequest): Promise<ControlAnswer> {
     const member = this.member(entry.memberId);
     if (request.kind === 'status') member.statuses += 1;
     if (member.state === 'ended') return Promise.resolve({ kind: 'refused' });
     if (member.isCutFromHolder) return Promise.resolve({ kind: 'silent' });
-    if (member.state === 'dark') return delay(DARK_MS).then(() => ({ kind: 'silent' }));
+    if (member.state === 'dark') return delay(UNREACHABLE_TIMEOUT_MS).then(() => ({ kind: 'silent' }));
     if (request.kind === 'pause' && !member.isPrimary) member.pausedForTerm = request.term;
     if (request.kind === 'resume') member.pausedForTerm = 0;
     if (request.kind === 'demote' && member.term < request.term) member.isPrimary = false;
@@ -191,13 +196,13 @@
     return Promise.resolve({ kind: 'answered', askedAtMs: performance.now(), status: statusOf(member) });
   }
 
-  #order(order: HolderOrder, recipients?: Recipients): Promise<ReadonlyMap<string, OrderOutcome>> {
+  #deliverOrder(order: HolderOrder, recipients?: Recipients): Promise<ReadonlyMap<string, OrderOutcome>> {
     this.events.push(order.kind);
-    const isMeant = (name: string): boolean => {
+    const isRecipient = (name: string): boolean => {
       if (recipients === undefined) return true;
       return 'only' in recipients ? recipients.only.has(name) : !recipients.except.has(name);
     };
-    const asked = [...this.daemons].filter(([name]) => isMeant(name));
+    const asked = [...this.daemons].filter(([name]) => isRecipient(name));
     return Promise.resolve(new Map(asked));
   }
 }
--- a/test/support/modelled-member.ts
+++ b/test/support/modelled-member.ts
@@ -1,6 +1,6 @@
 /**
- * A member as a model: slots that new connections and statements take for a while, and a queue. For tests whose timers and
- * clock are moved by hand.
+ * A model of a member: new connections and statements occupy one of its slots for some time, or wait in a
+ * queue. For tests with mocked timers and clock.
  *
  * @packageDocumentation
  */
@@ -13,59 +13,59 @@
   type MemberRequest,
 } from '../../src/relay/member-link.js';
 
-/** What the member can do. */
+/** Capacity of the member. */
 export interface MemberModel {
-  /** Requests that it works on at once. */
+  /** Number of tasks processed concurrently. */
   readonly slots: number;
-  /** Time of a slot that a new connection takes, in milliseconds. */
+  /** Time for which a new connection occupies a slot, in milliseconds. */
   readonly handshakeMs: number;
-  /** Time of a slot that a statement takes, in milliseconds. */
+  /** Time for which a statement occupies a slot, in milliseconds. */
   readonly workMs: number;
-  /** Requests that wait for a slot; more are refused. New connections wait without a limit. */
+  /** Number of waiting tasks from which on requests are refused. New connections always wait. */
   readonly queue: number;
 }
 
 const STATUS_ROW = 'replica 1 1.1 0 0 0 0';
-/** Time of a slot that a question for the status takes, in milliseconds. */
+/** Time for which a status request occupies a slot, in milliseconds. */
 const STATUS_MS = 1;
 
-/** One work for a slot. */
-interface Work {
+/** A task that occupies a slot. */
+interface SlotTask {
   readonly ms: number;
   readonly done: () => void;
 }
 
-/** The member; it dials for itself. */
+/** The member, which is also the dialer of its connections. */
 export class ModelledMember {
-  /** Connections that were begun. */
+  /** Connection attempts. */
   dials = 0;
-  /** Statements that were answered. */
+  /** Statements answered. */
   served = 0;
-  /** Questions for the status that were answered. */
+  /** Status requests answered. */
   statuses = 0;
-  readonly #waiting: Work[] = [];
+  readonly #waiting: SlotTask[] = [];
   #busy = 0;
 
   constructor(private readonly model: MemberModel) {}
 
-  /** Opens a connection; one that is given up takes its slot all the same. */
+  /** Opens a connection; an attempt that times out still occupies its slot. */
   dial(_address: unknown, timeoutMs: number, acceptMs = timeoutMs): Promise<MemberLink> {
     this.dials += 1;
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => reject(new DialError('slow', 'not accepted in time')), acceptMs);
-      this.#do(this.model.handshakeMs, () => {
+      this.#occupySlot(this.model.handshakeMs, () => {
         clearTimeout(timer);
         resolve(new ModelledLink(this));
       });
     });
   }
 
-  /** Answers a request, or refuses it when too many wait. */
+  /** Answers a request, or refuses it when the queue is full. */
   answer(request: MemberRequest): Promise<MemberReply> {
     if (this.#waiting.length >= this.model.queue) return Promise.resolve(refusal());
     const isStatus = request.kind === 'status';
     return new Promise((resolve) =>
-      this.#do(isStatus ? STATUS_MS : this.model.workMs, () => {
+      this.#occupySlot(isStatus ? STATUS_MS : this.model.workMs, () => {
         if (isStatus) this.statuses += 1;
         else this.served += 1;
         resolve(completion(isStatus ? [STATUS_ROW] : []));
@@ -73,12 +73,12 @@
     );
   }
 
-  #do(ms: number, done: () => void): void {
+  #occupySlot(ms: number, done: () => void): void {
     this.#waiting.push({ ms, done });
-    this.#next();
+    this.#startNextTask();
   }
 
-  #next(): void {
+  #startNextTask(): void {
     if (this.#busy >= this.model.slots) return;
     const work = this.#waiting.shift();
     if (work === undefined) return;
@@ -86,7 +86,7 @@
     setTimeout(() => {
       this.#busy -= 1;
       work.done();
-      this.#next();
+      this.#startNextTask();
     }, work.ms);
   }
 }
--- a/test/support/modelled-quota-fleet.ts
+++ b/test/support/modelled-quota-fleet.ts
@@ -1,5 +1,6 @@
 /**
- * Quotas of a fleet as a model: every daemon has its own view of who lives, messages take time, and time is moved by hand.
+ * A model of the quotas of a fleet: each daemon has its own view of the live daemons, and messages are
+ * delayed.
  *
  * @packageDocumentation
  */
@@ -8,7 +9,7 @@
 import { QuotaService } from '../../src/quota/quota-service.js';
 import type { Tenant } from '../../src/tenancy/tenant-registry.js';
 
-/** A fleet in modelled time: every daemon has its own view of who lives, and messages take time. */
+/** A fleet with simulated time, which the test advances. */
 export class ModelledFleet {
   nowMs = 0;
   readonly runs: number[] = [];
@@ -16,8 +17,8 @@
   readonly #services = new Map<string, QuotaService>();
   readonly #views = new Map<string, readonly DaemonRecord[]>();
   readonly #down = new Set<string>();
-  readonly #due: { atMs: number; run: () => void }[] = [];
-  readonly #cut = new Set<string>();
+  readonly #scheduled: { atMs: number; run: () => void }[] = [];
+  readonly #disconnected = new Set<string>();
 
   constructor(
     readonly records: readonly DaemonRecord[],
@@ -28,7 +29,7 @@
     for (const record of records) this.start(record);
   }
 
-  /** A process starts anew, and knows nothing. */
+  /** Starts a daemon process without any state. */
   start(record: DaemonRecord): void {
     this.#down.delete(record.name);
     this.#views.set(record.name, this.#views.get(record.name) ?? this.records);
@@ -36,8 +37,9 @@
       ownName: record.name,
       daemons: () => this.#views.get(record.name) ?? [],
       findTenant: (name) => (name === this.tenant.name ? this.tenant : null),
-      requestGrant: (other, request, timeoutMs) => this.#ask(record, other, request, timeoutMs),
-      hasProcessEnded: (other) => Promise.resolve(this.#down.has(other.name) && !this.#isCut(record, other)),
+      requestGrant: (other, request, timeoutMs) => this.#sendGrantRequest(record, other, request, timeoutMs),
+      hasProcessEnded: (other) =>
+        Promise.resolve(this.#down.has(other.name) && !this.#isDisconnected(record, other)),
       now: () => this.nowMs,
       random: this.random,
     });
@@ -50,23 +52,23 @@
     this.#services.delete(name);
   }
 
-  /** A daemon was told to stop, and serves on for a while. */
+  /** Tells a daemon to stop; it keeps serving for some time. */
   retire({ name }: DaemonRecord): void {
     this.#services.get(name)?.retire();
   }
 
-  /** One daemon reaches no other any more, and the other way round. */
+  /** Disconnects a daemon from all others, in both directions. */
   cut({ name }: DaemonRecord): void {
-    this.#cut.add(name);
+    this.#disconnected.add(name);
   }
 
-  /** What a daemon knows of who lives. */
+  /** Sets the daemons that a daemon knows to be live. */
   view({ name }: DaemonRecord, records: readonly DaemonRecord[]): void {
     this.#views.set(name, records);
     this.#services.get(name)?.daemonsChanged();
   }
 
-  /** An operation comes in. */
+  /** Submits an operation to a daemon. */
   operation({ name }: DaemonRecord): void {
     const service = this.#services.get(name);
     if (service === undefined) return;
@@ -76,48 +78,48 @@
     });
   }
 
-  /** Lets time pass. */
+  /** Advances the time, and runs what is due. */
   async advance(ms: number): Promise<void> {
     const untilMs = this.nowMs + ms;
     for (;;) {
-      await settle();
-      this.#due.sort((one, other) => one.atMs - other.atMs);
-      const next = this.#due[0];
+      await runPendingTasks();
+      this.#scheduled.sort((one, other) => one.atMs - other.atMs);
+      const next = this.#scheduled[0];
       if (next === undefined || next.atMs > untilMs) break;
-      this.#due.shift();
+      this.#scheduled.shift();
       this.nowMs = next.atMs;
       next.run();
     }
     this.nowMs = untilMs;
   }
 
-  #isCut(one: DaemonRecord, other: DaemonRecord): boolean {
-    return this.#cut.has(one.name) || this.#cut.has(other.name);
+  #isDisconnected(one: DaemonRecord, other: DaemonRecord): boolean {
+    return this.#disconnected.has(one.name) || this.#disconnected.has(other.name);
   }
 
-  #ask(
+  #sendGrantRequest(
     from: DaemonRecord,
     to: DaemonRecord,
     request: GrantRequest,
     timeoutMs: number,
   ): Promise<Grant | null> {
     return new Promise((resolve) => {
-      this.#later(timeoutMs, () => resolve(null));
-      if (this.#isCut(from, to)) return;
-      this.#later(this.delayMs(), () => {
+      this.#schedule(timeoutMs, () => resolve(null));
+      if (this.#isDisconnected(from, to)) return;
+      this.#schedule(this.delayMs(), () => {
         void this.#services
           .get(to.name)
           ?.grant(request)
-          .then((grant) => this.#later(this.delayMs(), () => resolve(grant)));
+          .then((grant) => this.#schedule(this.delayMs(), () => resolve(grant)));
       });
     });
   }
 
-  #later(ms: number, run: () => void): void {
-    this.#due.push({ atMs: this.nowMs + ms, run });
+  #schedule(ms: number, run: () => void): void {
+    this.#scheduled.push({ atMs: this.nowMs + ms, run });
   }
 }
 
-async function settle(): Promise<void> {
+async function runPendingTasks(): Promise<void> {
   for (let turn = 0; turn < 12; turn += 1) await Promise.resolve();
 }
--- a/test/support/next-life.ts
+++ b/test/support/next-life.ts
@@ -1,5 +1,5 @@
 /**
- * Members of a modelled group that start again under their id, as a directory that tells starts shows them.
+ * Restarts members of a modelled group under their id, as listed by a directory that reports start times.
  *
  * @packageDocumentation
  */
@@ -8,16 +8,16 @@
 import { Member } from '../../src/topology/member-group.js';
 import type { ModelledGroup } from './modelled-group.js';
 
-/** With what a member starts again. */
+/** Data that a member keeps across a restart. */
 export type Kept = 'log' | 'nothing';
 
-/** Start of the last life, in milliseconds of the Unix epoch. */
-let lastBornMs = 0;
+/** Start time of the latest incarnation, in milliseconds of the Unix epoch. */
+let lastStartMs = 0;
 
 /**
- * A member starts again as a replica that is not paused, and is listed at once.
+ * Restarts a member as a replica that is not paused, and lists it at once.
  *
- * @returns the life that has ended; it is a former member now
+ * @returns the incarnation that has ended, now a former member
  */
 export function startNextLife(scene: ModelledGroup, memberId: string, kept: Kept): Member {
   const { group } = scene;
@@ -28,11 +28,11 @@
   model.isPrimary = false;
   model.pausedForTerm = 0;
   if (kept === 'nothing') model.received = ZERO_POSITION;
-  lastBornMs += 1;
+  lastStartMs += 1;
   before.hasEnded = true;
   group.members.delete(memberId);
   group.addFormer(before);
-  group.members.set(memberId, new Member({ ...before.entry, bornMs: lastBornMs }, {} as MemberConnections));
+  group.members.set(memberId, new Member({ ...before.entry, bornMs: lastStartMs }, {} as MemberConnections));
   if (group.evidence.leader?.memberId === memberId) group.evidence.clearLeader();
   return before;
 }
--- a/test/support/no-tenancy.ts
+++ b/test/support/no-tenancy.ts
@@ -1,15 +1,15 @@
 /**
- * A relay whose callers have no keys and no quotas, for tests.
+ * Parts of a relay context without tenants and quotas, for tests.
  *
  * @packageDocumentation
  */
 import type { OperationQuotas } from '../../src/quota/operation-quotas.js';
 import type { RelayContext } from '../../src/relay/relay-context.js';
 
-/** The configuration may always be acted on. */
+/** A configuration lease that is always proven. */
 export const ALWAYS_PROVEN: RelayContext['configurationLease'] = { isProven: () => true };
 
-/** Everything is granted. */
+/** Quotas that grant every operation. */
 export const NO_QUOTAS: OperationQuotas = {
   charge: () => ({ kind: 'charged', refund: () => undefined }),
 };
--- a/test/support/quiet-observer.ts
+++ b/test/support/quiet-observer.ts
@@ -1,11 +1,11 @@
 /**
- * An observer of decisions that keeps nothing, for tests.
+ * A relay observer without effect, for tests.
  *
  * @packageDocumentation
  */
 import type { RelayObserver } from '../../src/relay/relay-context.js';
 
-/** Keeps nothing. */
+/** Ignores all notifications. */
 export const QUIET_OBSERVER: RelayObserver = {
   routine: () => undefined,
   notable: () => undefined,
--- a/test/support/raw-client.ts
+++ b/test/support/raw-client.ts
@@ -1,5 +1,5 @@
 /**
- * A client that sends bytes of its own choosing.
+ * A client that sends arbitrary bytes.
  *
  * @packageDocumentation
  */
@@ -10,7 +10,7 @@
 
 const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
-/** A socket with the messages that came back. */
+/** A socket and the messages received on it. */
 export class RawClient {
   readonly frames: Buffer[] = [];
   isClosed = false;
@@ -22,12 +22,12 @@
     socket.on('close', () => (this.isClosed = true));
   }
 
-  /** Opens a socket without saying anything. */
+  /** Opens a socket without sending anything. */
   static open(address: { readonly host: string; readonly port: number }): RawClient {
     return new RawClient(connect(address));
   }
 
-  /** Opens a socket and completes the start-up. */
+  /** Opens a socket and completes the startup exchange. */
   static async start(address: { readonly host: string; readonly port: number }): Promise<RawClient> {
     const client = RawClient.open(address);
     client.socket.write(serialize.startup({ user: 'raw', database: 'quotes' }));
@@ -35,23 +35,23 @@
     return client;
   }
 
-  /** Messages of one type that have come so far. */
+  /** Messages of one type received so far. */
   ofType(type: string): readonly Buffer[] {
     return this.frames.filter((frame) => frame[0] === type.charCodeAt(0));
   }
 
-  /** Waits until a number of messages of one type have come. */
+  /** Waits until a number of messages of one type have been received. */
   async waitForType(type: string, count: number): Promise<void> {
     await waitUntil(`${count} messages ${type}`, () => this.ofType(type).length >= count);
   }
 
-  /** Waits until the other side has closed. */
+  /** Waits until the connection is closed. */
   async waitForClose(): Promise<void> {
     await waitUntil('the connection to close', () => this.isClosed);
   }
 }
 
-/** Text of an ErrorResponse's field. */
+/** Value of a field of an ErrorResponse. */
 export function errorField(frame: Buffer | undefined, field: string): string | null {
   const fields = frame?.toString('utf8', 5).split('\0') ?? [];
   return fields.find((text) => text.startsWith(field))?.slice(1) ?? null;
--- a/test/support/relay-members.ts
+++ b/test/support/relay-members.ts
@@ -1,5 +1,5 @@
 /**
- * Members of a group with one connection each, for tests of what the relay does with them.
+ * Members of a group with one connection each, for tests of the relay.
  *
  * @packageDocumentation
  */
@@ -11,8 +11,8 @@
 
 const GROUP = 'g';
 
-/** A member to which this daemon may open one connection. */
-function testMember(memberId: string, dialer: MemberDialer, now: () => number): Member {
+/** Creates a member with a pool of at most one connection. */
+function createMember(memberId: string, dialer: MemberDialer, now: () => number): Member {
   const entry = {
     memberId,
     groupName: GROUP,
@@ -50,11 +50,11 @@
   return new Member(entry, connections);
 }
 
-/** A group of the members given by id, led by `leader` in term 1; evidence of that is up to the test. */
+/** Creates a group of the members given by id. `leader` leads term 1; the test has to add evidence for it. */
 export function testGroup(dialers: Readonly<Record<string, MemberDialer>>, now: () => number): MemberGroup {
   const group = new MemberGroup(GROUP);
   for (const [memberId, dialer] of Object.entries(dialers))
-    group.members.set(memberId, testMember(memberId, dialer, now));
+    group.members.set(memberId, createMember(memberId, dialer, now));
   group.evidence.observeLeader({ memberId: 'leader', term: 1 });
   return group;
 }
--- a/test/support/revisions.ts
+++ b/test/support/revisions.ts
@@ -1,5 +1,5 @@
 /**
- * Revisions for tests in which the store has one history only.
+ * Revisions for tests in which the store is never restored from a backup.
  *
  * @packageDocumentation
  */
--- a/test/support/seen-store.ts
+++ b/test/support/seen-store.ts
@@ -1,5 +1,5 @@
 /**
- * A store in memory as one daemon sees it: its own word of the era, its own copy, and cut off when the test says so.
+ * One daemon's view of a store in memory: its own known era and local copy; the test can disconnect it.
  *
  * @packageDocumentation
  */
@@ -27,52 +27,52 @@
 
   constructor(private readonly store: MemoryStore) {}
 
-  /** Reads the copy anew. */
+  /** Refreshes the local copy. */
   look(): void {
-    this.#reach();
+    this.#contactStore();
     this.items = new Map(this.store.items);
     this.revision = this.store.revision;
   }
 
   list(): Promise<{ items: readonly StoredItem[]; revision: Revision }> {
-    return this.#ask(() => this.store.list());
+    return this.#call(() => this.store.list());
   }
 
   read(key: string): Promise<StoredItem | null> {
     this.reads += 1;
-    return this.#ask(() => this.store.read(key));
+    return this.#call(() => this.store.read(key));
   }
 
   readIfChanged(key: string, known: Revision): Promise<ConditionalRead> {
-    return this.#ask(() => this.store.readIfChanged(key, known));
+    return this.#call(() => this.store.readIfChanged(key, known));
   }
 
   watch(): Promise<WatchResponse> {
-    return this.#ask(() => this.store.watch());
+    return this.#call(() => this.store.watch());
   }
 
   transact(transaction: StoreTransaction): Promise<TransactionResult> {
-    return this.#ask(() => this.store.transact(transaction));
+    return this.#call(() => this.store.transact(transaction));
   }
 
   grantLease(ttlMs: number): Promise<GrantedLease> {
-    return this.#ask(() => this.store.grantLease(ttlMs));
+    return this.#call(() => this.store.grantLease(ttlMs));
   }
 
   renewLease(leaseId: number): Promise<boolean> {
-    return this.#ask(() => this.store.renewLease(leaseId));
+    return this.#call(() => this.store.renewLease(leaseId));
   }
 
   revokeLease(leaseId: number): Promise<void> {
-    return this.#ask(() => this.store.revokeLease(leaseId));
+    return this.#call(() => this.store.revokeLease(leaseId));
   }
 
-  async #ask<T>(call: () => Promise<T>): Promise<T> {
-    this.#reach();
+  async #call<T>(call: () => Promise<T>): Promise<T> {
+    this.#contactStore();
     return call();
   }
 
-  #reach(): void {
+  #contactStore(): void {
     if (this.isCut) throw new StoreError('cut off', false);
     this.era.observe(this.store.era.current);
   }
--- a/test/support/slow-link.ts
+++ b/test/support/slow-link.ts
@@ -1,5 +1,5 @@
 /**
- * A connection to a member that answers when a test says so.
+ * A connection to a member that answers on demand of the test.
  *
  * @packageDocumentation
  */
@@ -11,12 +11,12 @@
   type MemberRequest,
 } from '../../src/relay/member-link.js';
 
-/** A member that answers when the test says so, in order, and knows its transaction state. */
+/** A connection that answers requests in order, on demand, and tracks its transaction state. */
 export class SlowLink implements MemberLink {
   isOpen = true;
   lastReceivedMs = 0;
   readonly ran: string[] = [];
-  readonly #waiting: {
+  readonly #pending: {
     request: MemberRequest;
     resolve(reply: MemberReply): void;
     reject(error: Error): void;
@@ -26,19 +26,19 @@
 
   send(request: MemberRequest): Promise<MemberReply> {
     if (!this.isOpen) return Promise.reject(new NotSentError('closed'));
-    return new Promise((resolve, reject) => this.#waiting.push({ request, resolve, reject }));
+    return new Promise((resolve, reject) => this.#pending.push({ request, resolve, reject }));
   }
 
-  /** True while a request waits for its answer. */
+  /** True while a request is unanswered. */
   get isAsked(): boolean {
-    return this.#waiting.length > 0;
+    return this.#pending.length > 0;
   }
 
-  /** Answers the oldest request; false when there is none. */
+  /** Answers the oldest request; returns false when there is none. */
   answer(): boolean {
-    const next = this.#waiting.shift();
+    const next = this.#pending.shift();
     if (next === undefined) return false;
-    this.#run(next.request);
+    this.#execute(next.request);
     const state = this.#isInTransaction ? 'open' : 'idle';
     next.resolve({ rows: [], result: { isComplete: true, signature: 's' }, state, position: null });
     return true;
@@ -47,21 +47,24 @@
   /** Refuses the oldest request without running it. */
   refuse(): void {
     const result = { isComplete: false, code: 'busy', text: 'busy' } as const;
-    this.#waiting.shift()?.resolve({ rows: [], result, state: 'open', position: null });
+    this.#pending.shift()?.resolve({ rows: [], result, state: 'open', position: null });
   }
 
-  /** What was sent may have arrived before the end of the connection: it runs. */
+  /**
+   * Closes the connection. Requests in transit still run: they may have arrived before the connection was
+   * lost.
+   */
   close(): void {
     if (!this.isOpen) return;
     this.isOpen = false;
-    for (const { request, reject } of this.#waiting.splice(0)) {
-      this.#run(request);
+    for (const { request, reject } of this.#pending.splice(0)) {
+      this.#execute(request);
       reject(new LinkLostError('closed'));
     }
     this.#onClosed(false);
   }
 
-  #run({ kind }: MemberRequest): void {
+  #execute({ kind }: MemberRequest): void {
     if (kind === 'begin') this.#isInTransaction = true;
     if (kind === 'rollback') this.#isInTransaction = false;
     if (kind === 'statement' || kind === 'execute')
--- a/test/support/sql-client.ts
+++ b/test/support/sql-client.ts
@@ -1,12 +1,12 @@
 /**
- * One face for two independent client libraries, so that each passes the same suite.
+ * A common interface of two independent client libraries, so that both can run the same suite.
  *
  * @packageDocumentation
  */
 import pg from 'pg';
 import postgres from 'postgres';
 
-/** Where and as whom to connect. */
+/** Connection parameters. */
 export interface ClientTarget {
   readonly host: string;
   readonly port: number;
@@ -14,7 +14,7 @@
   readonly options: string;
 }
 
-/** What the suite needs of a client. */
+/** Operations that the suite requires of a client. */
 export interface SqlClient {
   query(text: string, values?: readonly unknown[]): Promise<readonly Record<string, unknown>[]>;
   /** Runs a named prepared statement. */
@@ -43,7 +43,7 @@
   };
 }
 
-/** `pg` has the key of the connection but no method for a CancelRequest of one's own. */
+/** Sends a CancelRequest; `pg` stores the key of a connection but has no public method to cancel. */
 async function cancelPg(client: pg.Client, host: string, port: number): Promise<void> {
   const { processID, secretKey } = client as unknown as { processID: number; secretKey: number };
   const connection = new pg.Connection({ stream: undefined } as never);
