--- a/src/coordination.property.test.ts
+++ b/src/coordination.property.test.ts
@@ -1,5 +1,5 @@
 /**
- * Properties of the pure parts over random orders of events.
+ * Property tests of the modules without I/O, over random sequences of events.
  *
  * @packageDocumentation
  */
@@ -19,7 +19,7 @@
 import { RetryBudget } from './retry/retry-budget.js';
 import { SessionPositions } from './session/session-positions.js';
 
-const SETTINGS = { seed: 20261202, numRuns: 200 };
+const PROPERTY_OPTIONS = { seed: 20261202, numRuns: 200 };
 
 const position: fc.Arbitrary<Position> = fc.record({
   term: fc.integer({ min: 1, max: 3 }),
@@ -30,7 +30,7 @@
   return { version, identity, publishedBy: 'o', publishedAt: '', databases: [], policy: '' };
 }
 
-test('session positions: a required position is never below an acknowledged write, whatever is forgotten', () => {
+test('session positions: a required position is never below an acknowledged write, whatever is evicted', () => {
   const event = fc.oneof(
     fc.record({ kind: fc.constant('write' as const), session: fc.nat(5), position }),
     fc.record({ kind: fc.constant('floor' as const), position }),
@@ -61,11 +61,11 @@
         assert.ok(positions.size <= maxSessions);
       }
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('configuration holder: the version in force never goes back', () => {
+test('configuration holder: the current version never decreases', () => {
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 1, max: 30 })), (versions) => {
       const holder = new ConfigurationHolder();
@@ -76,7 +76,7 @@
         assert.equal(holder.version, highest);
       }
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
@@ -88,7 +88,7 @@
   assert.equal(holder.current?.identity, 'a');
 });
 
-test('start-up gate: an accepted version that a majority knows is never missed', () => {
+test('startup gate: an accepted version that a majority knows is never missed', () => {
   const daemonCount = fc.integer({ min: 2, max: 9 });
   fc.assert(
     fc.property(daemonCount, fc.infiniteStream(fc.nat(1000)), (count, randoms) => {
@@ -108,11 +108,11 @@
         break;
       }
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('start-up gate: the store alone is trusted only after the others were given a moment', () => {
+test('startup gate: the store alone is trusted only after the peers had time to answer', () => {
   const gate = new StartupGate(0, 1000);
   gate.recordStore(configuration(1, 'old'));
   gate.recordPeer('d2', 2, null);
@@ -123,7 +123,7 @@
   assert.deepEqual(gate.decide(5, 1000), { kind: 'adopt', configuration: newer });
 });
 
-test('commit evidence: only a majority asked after the commit, in its term and at its position, confirms', () => {
+test('commit evidence: only a majority queried after the commit, in its term and at its position, confirms it', () => {
   const observation = fc.record({
     memberId: fc.constantFrom('m1', 'm2', 'm3', 'm4', 'm5'),
     term: fc.integer({ min: 4, max: 6 }),
@@ -148,11 +148,11 @@
         assert.equal(evidence.state === 'confirmed', good.size >= 3);
       }
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('staleness: the bound is never below the true age', () => {
+test('staleness: the estimated bound is never below the true age', () => {
   fc.assert(
     fc.property(fc.array(fc.nat(80), { minLength: 1, maxLength: 30 }), fc.nat(200), (gaps, lag) => {
       const estimator = new StalenessEstimator();
@@ -169,11 +169,11 @@
       const trueAgeMs = firstMissing === undefined ? 0 : nowMs - firstMissing.atMs;
       assert.ok(bound >= trueAgeMs, `bound ${bound}, true age ${trueAgeMs}`);
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('admission queue: highest priority first, arrival within a priority, never above its length', () => {
+test('admission queue: ordered by priority, then by arrival; never longer than its limit', () => {
   fc.assert(
     fc.property(
       fc.array(fc.integer({ min: 0, max: 9 }), { maxLength: 40 }),
@@ -199,11 +199,11 @@
         assert.equal(queue.take(), null);
       },
     ),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('retry budget: retries never exceed what is saved and a share of the requests', () => {
+test('retry budget: retries never exceed the saved budget plus a share of the requests', () => {
   fc.assert(
     fc.property(fc.array(fc.boolean(), { maxLength: 300 }), (events) => {
       const budget = new RetryBudget({ retriesPerRequest: 0.1, maxSaved: 5 });
@@ -219,11 +219,11 @@
         assert.ok(retries <= 5 + requests * 0.1 + 1e-9);
       }
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('candidate ranking: removing one daemon moves only the databases that it led', () => {
+test('candidate ranking: removing a daemon moves only the databases for which it ranked first', () => {
   const daemons = Array.from({ length: 20 }, (_, i) => `d${i}`);
   const without = daemons.filter((id) => id !== 'd7');
   for (let i = 0; i < 200; i += 1) {
@@ -233,7 +233,7 @@
   }
 });
 
-function record(daemonId: string, change: Partial<PeerRecord> = {}): PeerRecord {
+function createPeerRecord(daemonId: string, change: Partial<PeerRecord> = {}): PeerRecord {
   return {
     daemonId,
     zone: 'a',
@@ -249,7 +249,7 @@
 
 const TABLE_OPTIONS = { suspicionTimeoutMs: 100, forgetAfterMs: 1000, maxUpdatesPerMessage: 4 };
 
-test('membership: the same records in any order lead to the same table', () => {
+test('membership: merging the same records in any order gives the same table', () => {
   const change = fc.record({
     daemonId: fc.constantFrom('b', 'c'),
     incarnation: fc.integer({ min: 1, max: 3 }),
@@ -258,27 +258,27 @@
   });
   fc.assert(
     fc.property(fc.array(change, { maxLength: 12 }), (changes) => {
-      const records = changes.map(({ daemonId, ...rest }) => record(daemonId, rest));
-      const forwards = new MembershipTable(record('a'), TABLE_OPTIONS);
-      const backwards = new MembershipTable(record('a'), TABLE_OPTIONS);
+      const records = changes.map(({ daemonId, ...rest }) => createPeerRecord(daemonId, rest));
+      const forwards = new MembershipTable(createPeerRecord('a'), TABLE_OPTIONS);
+      const backwards = new MembershipTable(createPeerRecord('a'), TABLE_OPTIONS);
       for (const item of records) forwards.merge(item, 0);
       for (const item of [...records].reverse()) backwards.merge(item, 0);
       for (const id of ['b', 'c']) assert.deepEqual(forwards.find(id), backwards.find(id));
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
 });
 
 test('membership: a daemon refutes its own death, and the refutation supersedes it', () => {
-  const table = new MembershipTable(record('a'), TABLE_OPTIONS);
-  const death = record('a', { state: 'dead' });
+  const table = new MembershipTable(createPeerRecord('a'), TABLE_OPTIONS);
+  const death = createPeerRecord('a', { state: 'dead' });
   assert.equal(table.merge(death, 0), true);
   assert.ok(supersedes(table.own, death));
 });
 
-test('membership: a suspect dies after its time, a dead owner owns nothing, and news is passed on a bounded number of times', () => {
-  const table = new MembershipTable(record('a'), TABLE_OPTIONS);
-  table.merge(record('b', { ownedDatabases: ['quotes'] }), 0);
+test('membership: a suspect is declared dead after the timeout, a dead daemon owns nothing, and updates are gossiped a bounded number of times', () => {
+  const table = new MembershipTable(createPeerRecord('a'), TABLE_OPTIONS);
+  table.merge(createPeerRecord('b', { ownedDatabases: ['quotes'] }), 0);
   assert.equal(table.ownerOf('quotes')?.daemonId, 'b');
   table.suspect('b', 10);
   assert.deepEqual(table.expire(109), []);
--- a/src/units.test.ts
+++ b/src/units.test.ts
@@ -1,5 +1,5 @@
 /**
- * Policies, settings, classification, tags, frames and replies.
+ * Unit tests of policies, settings, classification, tags, frames, replies and other small modules.
  *
  * @packageDocumentation
  */
@@ -19,7 +19,7 @@
 import { FrameError, FrameSplitter } from './wire/frame-splitter.js';
 import { BackendType } from './wire/message-types.js';
 
-const SETTINGS = { seed: 20261202, numRuns: 200 };
+const PROPERTY_OPTIONS = { seed: 20261202, numRuns: 200 };
 
 const SUBJECT = {
   class: 'lookup',
@@ -32,7 +32,7 @@
   lagMs: 900,
 };
 
-test('policy: the first rule that matches decides; what no rule covers goes to the primary and may not repeat', () => {
+test('policy: the first matching rule decides; a request that no rule matches gets the default decision', () => {
   const policy = Policy.compile(
     `
 rules:
@@ -55,7 +55,7 @@
   assert.deepEqual(policy.decide({ ...SUBJECT, class: '' }), DEFAULT_DECISION);
 });
 
-test('policy: problems name their place', () => {
+test('policy: problems state their location', () => {
   const problemsOf = (text: string): string => Policy.compile(text).swap().orDefault([]).join('\n');
   assert.match(
     problemsOf('rules:\n  - name: a\n    when: klass == "x"'),
@@ -76,7 +76,7 @@
   assert.match(problemsOf('x'.repeat(MAX_POLICY_BYTES + 1)), /larger than/);
 });
 
-test('policy: its own test cases are run', () => {
+test('policy: the test cases in the document are run', () => {
   const policy = Policy.compile(
     `
 rules:
@@ -101,7 +101,7 @@
 store: { url: "http://127.0.0.1:2379" }
 `;
 
-test('settings: a minimal file is enough, flags override, and every problem names its place', () => {
+test('settings: a minimal file is valid, flags override it, and every problem states its location', () => {
   const settings = parseSettings(MINIMAL_SETTINGS, new Map([['listen.client.port', '7000']])).unsafeCoerce();
   assert.equal(settings.listen.client.port, 7000);
   assert.equal(settings.timing.leaseMs, 2000);
@@ -115,7 +115,7 @@
   assert.ok(problems.some((line) => line.startsWith('settings:') && line.includes('limit')));
 });
 
-test('classification: reads, writes, what is unknown, transactions and what cannot be pooled', () => {
+test('classification: reads, writes, unparsable text, transactions, and statements that cannot be pooled', () => {
   const kindOf = (text: string): string => classify(text).kind;
   assert.equal(kindOf('SELECT count(*) FROM t WHERE a = lower($1)'), 'read');
   assert.equal(kindOf('WITH x AS (SELECT 1) SELECT * FROM x'), 'read');
@@ -135,7 +135,7 @@
   assert.equal(kindOf('SELECT pg_advisory_lock(1)'), 'unsupported');
 });
 
-test('tags: the last comment in sqlcommenter form, and nothing else', () => {
+test('tags: only the last comment in sqlcommenter format is parsed', () => {
   const { text, tags } = parseTags("SELECT 1 /*class='issue',once='a%20b',session='s\\'1'*/;");
   assert.equal(text, 'SELECT 1 ');
   assert.deepEqual(tags, { requestClass: 'issue', onceKey: 'a b', session: "s'1" });
@@ -144,7 +144,7 @@
   assert.equal(parseStartupTags(startup).requestClass, 'lookup');
 });
 
-test('frames: any split of a stream gives the same messages', () => {
+test('frames: a stream split at any point gives the same messages', () => {
   const body = fc.uint8Array({ maxLength: 20 });
   fc.assert(
     fc.property(fc.array(body, { maxLength: 8 }), fc.integer({ min: 1, max: 9 }), (bodies, step) => {
@@ -161,12 +161,12 @@
       assert.deepEqual(frames.map(String), messages.map(String));
       assert.equal(splitter.pendingBytes, 0);
     }),
-    SETTINGS,
+    PROPERTY_OPTIONS,
   );
   assert.throws(() => new FrameSplitter(100).push(Buffer.from([0x51, 0, 0, 1, 0])), FrameError);
 });
 
-test('replies: those to added messages are hidden, and an error ends the batch', () => {
+test('replies: replies to injected messages are hidden, and an error ends the batch', () => {
   const step = (kind: ReplyStep['kind'], isHidden: boolean): ReplyStep => ({
     kind,
     isHidden,
@@ -188,12 +188,12 @@
   assert.equal(failing.isDone, true);
 });
 
-test('pause detector: what is read right after a pause may be old', () => {
+test('pause detector: a pause is reported until its window has passed', () => {
   const detector = new PauseDetector({ thresholdMs: 1000, windowMs: 250 }, 0);
   assert.equal(detector.tick(900), false);
   assert.equal(detector.tick(1900), true);
   while (detector.completeIteration()) assert.equal(detector.tick(1901), true);
-  assert.equal(detector.tick(2149), true, 'within the window also after the passes');
+  assert.equal(detector.tick(2149), true, 'within the window even after the iterations');
   assert.equal(detector.tick(2150), false);
 });
 
@@ -202,7 +202,7 @@
   assert.equal(line, 'time=t level=info event=daemon_started daemon=a1 error="a b"\n');
 });
 
-test('owner reachability: after a while requests are refused at once, but for a probe now and then', () => {
+test('owner circuit breaker: once open, requests are refused except for periodic probes', () => {
   const reachability = new OwnerCircuitBreaker({ openAfterMs: 3000, probeIntervalMs: 250 });
   assert.equal(reachability.recordFailure('quotes', 0), false);
   assert.equal(reachability.recordFailure('quotes', 2999), false);
@@ -216,7 +216,7 @@
   assert.equal(reachability.allowRequest('quotes', 3252), true);
 });
 
-test('configuration documents: databases that the receiver has are not sent, and never mixed up', () => {
+test('configuration documents: databases that the receiver already has are omitted, and only matching ones are restored', () => {
   const database = { name: 'quotes', connectionLimit: 35, slots: 5, members: [] };
   const base = {
     version: 1,
