--- a/src/units.test.ts
+++ b/src/units.test.ts
@@ -203,17 +203,17 @@
 });
 
 test('owner circuit breaker: once open, requests are refused except for periodic probes', () => {
-  const reachability = new OwnerCircuitBreaker({ openAfterMs: 3000, probeIntervalMs: 250 });
-  assert.equal(reachability.recordFailure('quotes', 0), false);
-  assert.equal(reachability.recordFailure('quotes', 2999), false);
-  assert.equal(reachability.allowRequest('quotes', 2999), true);
-  assert.equal(reachability.recordFailure('quotes', 3000), true);
-  assert.equal(reachability.allowRequest('quotes', 3001), true);
-  assert.equal(reachability.allowRequest('quotes', 3002), false);
-  assert.equal(reachability.allowRequest('quotes', 3251), true);
-  assert.equal(reachability.allowRequest('other', 3002), true);
-  reachability.recordSuccess('quotes');
-  assert.equal(reachability.allowRequest('quotes', 3252), true);
+  const breaker = new OwnerCircuitBreaker({ openAfterMs: 3000, probeIntervalMs: 250 });
+  assert.equal(breaker.recordFailure('quotes', 0), false);
+  assert.equal(breaker.recordFailure('quotes', 2999), false);
+  assert.equal(breaker.allowRequest('quotes', 2999), true);
+  assert.equal(breaker.recordFailure('quotes', 3000), true);
+  assert.equal(breaker.allowRequest('quotes', 3001), true);
+  assert.equal(breaker.allowRequest('quotes', 3002), false);
+  assert.equal(breaker.allowRequest('quotes', 3251), true);
+  assert.equal(breaker.allowRequest('other', 3002), true);
+  breaker.recordSuccess('quotes');
+  assert.equal(breaker.allowRequest('quotes', 3252), true);
 });
 
 test('configuration documents: databases that the receiver already has are omitted, and only matching ones are restored', () => {
