--- a/src/coordination/change-feed.test.ts
+++ b/src/coordination/change-feed.test.ts
@@ -18,13 +18,13 @@
   type WatchResponse,
 } from './coordination-store.js';
 import { applyDelta, diffValues } from './value-delta.js';
-import { at } from '../../test/support/revisions.js';
+import { firstEraRevision } from '../../test/support/revisions.js';
 import type { Revision } from './revision.js';
 
 const VALUE = Buffer.from('x');
 
 function put(key: string, revision: number, value: Buffer = VALUE): StoreEvent {
-  return { key, revision: at(revision), value };
+  return { key, revision: firstEraRevision(revision), value };
 }
 
 function daemon(name: string, zone = 'a'): DaemonRecord {
@@ -38,24 +38,24 @@
 describe('the change log', () => {
   test('has the changes after a full read of the store, and returns null for a revision before it', () => {
     const log = new ChangeLog();
-    assert.equal(log.since(at(0)), null);
-    log.restart(at(10), 0);
-    log.append(at(10), [put('a', 11), put('b', 12)], at(12), 0);
-    assert.deepEqual(revisionNumbers(log.since(at(10))), [11, 12]);
-    assert.deepEqual(revisionNumbers(log.since(at(11))), [12]);
-    assert.deepEqual(revisionNumbers(log.since(at(99))), []);
-    assert.equal(log.since(at(9)), null);
+    assert.equal(log.since(firstEraRevision(0)), null);
+    log.restart(firstEraRevision(10), 0);
+    log.append(firstEraRevision(10), [put('a', 11), put('b', 12)], firstEraRevision(12), 0);
+    assert.deepEqual(revisionNumbers(log.since(firstEraRevision(10))), [11, 12]);
+    assert.deepEqual(revisionNumbers(log.since(firstEraRevision(11))), [12]);
+    assert.deepEqual(revisionNumbers(log.since(firstEraRevision(99))), []);
+    assert.equal(log.since(firstEraRevision(9)), null);
   });
 
   test('starts empty after it was suspended, so that changes missed in between are not skipped', () => {
     const log = new ChangeLog();
-    log.restart(at(10), 0);
-    log.append(at(10), [put('a', 11)], at(11), 0);
+    log.restart(firstEraRevision(10), 0);
+    log.append(firstEraRevision(10), [put('a', 11)], firstEraRevision(11), 0);
     log.suspend();
-    assert.equal(log.since(at(11)), null);
-    log.append(at(20), [put('a', 21)], at(21), 0);
-    assert.equal(log.since(at(11)), null);
-    assert.deepEqual(revisionNumbers(log.since(at(20))), [21]);
+    assert.equal(log.since(firstEraRevision(11)), null);
+    log.append(firstEraRevision(20), [put('a', 21)], firstEraRevision(21), 0);
+    assert.equal(log.since(firstEraRevision(11)), null);
+    assert.deepEqual(revisionNumbers(log.since(firstEraRevision(20))), [21]);
   });
 
   test('is bounded in number and bytes, and returns null instead of an incomplete list', () => {
@@ -63,11 +63,16 @@
     fc.assert(
       fc.property(sizes, fc.nat(200), (bytes, after) => {
         const log = new ChangeLog();
-        log.restart(at(0), 0);
+        log.restart(firstEraRevision(0), 0);
         bytes.forEach((size, index) =>
-          log.append(at(index), [put('k', index + 1, Buffer.alloc(size))], at(index + 1), 0),
+          log.append(
+            firstEraRevision(index),
+            [put('k', index + 1, Buffer.alloc(size))],
+            firstEraRevision(index + 1),
+            0,
+          ),
         );
-        const since = log.since(at(after));
+        const since = log.since(firstEraRevision(after));
         const wanted = bytes.map((_size, index) => index + 1).filter((revision) => revision > after);
         assert.ok(since === null || revisionNumbers(since)?.join() === wanted.join());
       }),
@@ -77,28 +82,31 @@
 
   test('has no changes across two eras of the store', async () => {
     const log = new ChangeLog();
-    log.restart(at(10), 0);
-    log.append(at(10), [put('a', 11)], at(11), 0);
+    log.restart(firstEraRevision(10), 0);
+    log.append(firstEraRevision(10), [put('a', 11)], firstEraRevision(11), 0);
     log.restart({ era: 1, number: 5 }, 0);
-    assert.equal(log.since(at(10)), null);
-    assert.equal(log.since(at(4)), null);
+    assert.equal(log.since(firstEraRevision(10)), null);
+    assert.equal(log.since(firstEraRevision(4)), null);
     assert.deepEqual(revisionNumbers(log.since({ era: 1, number: 5 })), []);
     const relay = new ChangeRelay(log, () => 0);
-    assert.equal((await relay.changesAfter(at(11), 1000)).kind, 'forgotten');
+    assert.equal((await relay.changesAfter(firstEraRevision(11), 1000)).kind, 'forgotten');
     assert.equal((await relay.changesAfter({ era: 2, number: 1 }, 1000)).kind, 'unavailable');
   });
 
   test('relays only the key of a large value', () => {
     const log = new ChangeLog();
-    log.restart(at(0), 0);
+    log.restart(firstEraRevision(0), 0);
     log.append(
-      at(0),
-      [put('k', 1, Buffer.alloc(MAX_RELAYED_BYTES + 1)), { key: 'g', revision: at(2), value: null }],
-      at(2),
+      firstEraRevision(0),
+      [
+        put('k', 1, Buffer.alloc(MAX_RELAYED_BYTES + 1)),
+        { key: 'g', revision: firstEraRevision(2), value: null },
+      ],
+      firstEraRevision(2),
       0,
     );
     assert.deepEqual(
-      log.since(at(0))?.map(({ content }) => content.kind),
+      log.since(firstEraRevision(0))?.map(({ content }) => content.kind),
       ['large', 'gone'],
     );
   });
@@ -108,26 +116,26 @@
   test('answers at once if there are changes, and otherwise with the next change', async () => {
     const log = new ChangeLog();
     const relay = new ChangeRelay(log, () => 0);
-    log.restart(at(5), 0);
-    const waiting = relay.changesAfter(at(5), 1000);
-    log.append(at(5), [put('a', 6)], at(6), 0);
+    log.restart(firstEraRevision(5), 0);
+    const waiting = relay.changesAfter(firstEraRevision(5), 1000);
+    log.append(firstEraRevision(5), [put('a', 6)], firstEraRevision(6), 0);
     const answer = await waiting;
     assert.ok(answer.kind === 'changes' && answer.changes.length === 1);
-    assert.deepEqual(await relay.changesAfter(at(5), 1000), answer);
+    assert.deepEqual(await relay.changesAfter(firstEraRevision(5), 1000), answer);
   });
 
   test('is unavailable without a recent response of the store, also for waiting requests', async () => {
     const log = new ChangeLog();
     let now = 0;
     const relay = new ChangeRelay(log, () => now);
-    assert.equal((await relay.changesAfter(at(0), 1000)).kind, 'unavailable');
-    log.restart(at(5), 0);
-    const waiting = relay.changesAfter(at(5), 60_000);
+    assert.equal((await relay.changesAfter(firstEraRevision(0), 1000)).kind, 'unavailable');
+    log.restart(firstEraRevision(5), 0);
+    const waiting = relay.changesAfter(firstEraRevision(5), 60_000);
     log.suspend();
     assert.equal((await waiting).kind, 'unavailable');
-    log.restart(at(5), 0);
+    log.restart(firstEraRevision(5), 0);
     now = MAX_STORE_AGE_MS + 1;
-    assert.equal((await relay.changesAfter(at(5), 1000)).kind, 'unavailable');
+    assert.equal((await relay.changesAfter(firstEraRevision(5), 1000)).kind, 'unavailable');
   });
 });
 
@@ -149,7 +157,7 @@
     read,
     watch: (_prefix: string, _after: Revision, waitMs: number): Promise<WatchResponse> => {
       asked.push(`store ${waitMs}`);
-      return Promise.resolve({ kind: 'events', events: [], revision: at(1) });
+      return Promise.resolve({ kind: 'events', events: [], revision: firstEraRevision(1) });
     },
   } as unknown as CoordinationStore;
   const feed = new DelegatedFeed({
@@ -172,26 +180,31 @@
 
 function changes(ageMs: number, list: readonly StoreEvent[] = []): RelayResponse {
   const log = new ChangeLog();
-  log.restart(at(0), 0);
-  log.append(at(0), list, at(9), 0);
-  return { kind: 'changes', changes: log.since(at(0)) ?? [], revision: at(9), ageMs };
+  log.restart(firstEraRevision(0), 0);
+  log.append(firstEraRevision(0), list, firstEraRevision(9), 0);
+  return {
+    kind: 'changes',
+    changes: log.since(firstEraRevision(0)) ?? [],
+    revision: firstEraRevision(9),
+    ageMs,
+  };
 }
 
 describe('a large value with a small change', () => {
   const before = {
     key: 'c',
     value: Buffer.from(`{"version":1,"parts":[${partsText(300)}]}`),
-    revision: at(4),
+    revision: firstEraRevision(4),
   };
   const after = {
     ...before,
     value: Buffer.from(`{"version":2,"parts":[${partsText(299)}]}`),
-    revision: at(7),
+    revision: firstEraRevision(7),
   };
   const later = {
     ...before,
     value: Buffer.from(`{"version":3,"parts":[${partsText(298)}]}`),
-    revision: at(8),
+    revision: firstEraRevision(8),
   };
 
   function partsText(count: number): string {
@@ -203,9 +216,14 @@
 
   function relayedChanges(): RelayResponse {
     const log = new ChangeLog();
-    log.restart(at(4), 0);
-    log.append(at(4), [after, later], at(8), 0, [before, after]);
-    return { kind: 'changes', changes: log.since(at(4)) ?? [], revision: at(8), ageMs: 10 };
+    log.restart(firstEraRevision(4), 0);
+    log.append(firstEraRevision(4), [after, later], firstEraRevision(8), 0, [before, after]);
+    return {
+      kind: 'changes',
+      changes: log.since(firstEraRevision(4)) ?? [],
+      revision: firstEraRevision(8),
+      ageMs: 10,
+    };
   }
 
   test('is relayed as a delta, and decoded by a daemon that holds the base value', async () => {
@@ -214,7 +232,7 @@
     assert.ok(bytes < before.value.length / 20, `${bytes} bytes for two changes`);
     const { feed, answers } = feedFixture(undefined, new Map([['c', before]]));
     answers.set('d1', answer);
-    const received = await feed.watch(at(4), 2500);
+    const received = await feed.watch(firstEraRevision(4), 2500);
     assert.ok(received.kind === 'events');
     assert.deepEqual(received.events, [after, later]);
   });
@@ -222,10 +240,10 @@
   test('is read from the store by a daemon that does not hold the base value', async () => {
     const { feed, answers } = feedFixture(
       () => Promise.resolve(later),
-      new Map([['c', { ...before, revision: at(3) }]]),
+      new Map([['c', { ...before, revision: firstEraRevision(3) }]]),
     );
     answers.set('d1', relayedChanges());
-    const received = await feed.watch(at(4), 2500);
+    const received = await feed.watch(firstEraRevision(4), 2500);
     assert.ok(received.kind === 'events' && received.events.every(({ value }) => value === later.value));
   });
 
@@ -255,59 +273,61 @@
   test('asks a delegate of its zone, and keeps asking the same one', async () => {
     const { feed, asked, answers } = feedFixture();
     answers.set('d1', changes(10, [put('a', 3)]));
-    const answer = await feed.watch(at(0), 2500);
+    const answer = await feed.watch(firstEraRevision(0), 2500);
     assert.ok(answer.kind === 'events' && answer.isPassedOn && answer.events[0]?.key === 'a');
-    await feed.watch(at(9), 2500);
+    await feed.watch(firstEraRevision(9), 2500);
     assert.deepEqual(asked, ['d1', 'd1']);
   });
 
   test('asks the store if a delegate does not answer, then another delegate, and the first again after the backoff', async () => {
     const { feed, asked, answers, state } = feedFixture();
     answers.set('d2', changes(10));
-    assert.equal((await feed.watch(at(0), 2500)).isPassedOn, false);
-    assert.equal((await feed.watch(at(0), 2500)).isPassedOn, true);
+    assert.equal((await feed.watch(firstEraRevision(0), 2500)).isPassedOn, false);
+    assert.equal((await feed.watch(firstEraRevision(0), 2500)).isPassedOn, true);
     answers.set('d2', { kind: 'unavailable' });
-    await feed.watch(at(0), 2500);
-    await feed.watch(at(0), 2500);
+    await feed.watch(firstEraRevision(0), 2500);
+    await feed.watch(firstEraRevision(0), 2500);
     state.now += 60_000;
     answers.set('d1', changes(10));
-    await feed.watch(at(0), 2500);
+    await feed.watch(firstEraRevision(0), 2500);
     assert.deepEqual(asked, ['d1', 'store 2500', 'd2', 'd2', 'store 2500', 'store 2500', 'd1']);
   });
 
   test('rejects a response of a delegate whose store information is too old', async () => {
     const { feed, answers } = feedFixture();
     answers.set('d1', changes(MAX_STORE_AGE_MS + 1, [put('a', 3)]));
-    assert.equal((await feed.watch(at(0), 2500)).isPassedOn, false);
+    assert.equal((await feed.watch(firstEraRevision(0), 2500)).isPassedOn, false);
   });
 
   test('reads the whole store if the delegate no longer has the changes', async () => {
     const { feed, answers } = feedFixture();
     answers.set('d1', { kind: 'forgotten' });
-    assert.deepEqual(await feed.watch(at(0), 2500), { kind: 'compacted', isPassedOn: true });
+    assert.deepEqual(await feed.watch(firstEraRevision(0), 2500), { kind: 'compacted', isPassedOn: true });
   });
 
   test('reads large values from the store itself', async () => {
     const large = Buffer.alloc(MAX_RELAYED_BYTES + 1, 7);
-    const { feed, answers } = feedFixture((key) => Promise.resolve({ key, value: large, revision: at(4) }));
+    const { feed, answers } = feedFixture((key) =>
+      Promise.resolve({ key, value: large, revision: firstEraRevision(4) }),
+    );
     answers.set('d1', changes(10, [put('big', 3, large)]));
-    const answer = await feed.watch(at(0), 2500);
+    const answer = await feed.watch(firstEraRevision(0), 2500);
     assert.ok(answer.kind === 'events');
-    assert.deepEqual(answer.events, [{ key: 'big', value: large, revision: at(4) }]);
+    assert.deepEqual(answer.events, [{ key: 'big', value: large, revision: firstEraRevision(4) }]);
     const storeDown = feedFixture(() => Promise.reject(new StoreError('down', false)));
     storeDown.answers.set('d1', changes(10, [put('big', 3, large)]));
-    await assert.rejects(storeDown.feed.watch(at(0), 2500), StoreError);
+    await assert.rejects(storeDown.feed.watch(firstEraRevision(0), 2500), StoreError);
   });
 
   test('watches the store itself as a delegate, if it must, or if there are no delegates', async () => {
     const { feed, asked, state } = feedFixture();
     state.isDirect = true;
-    await feed.watch(at(0), 2500);
+    await feed.watch(firstEraRevision(0), 2500);
     state.isDirect = false;
     state.delegates = [daemon('me'), daemon('d1')];
-    await feed.watch(at(0), 2500);
+    await feed.watch(firstEraRevision(0), 2500);
     state.delegates = null;
-    await feed.watch(at(0), 2500);
+    await feed.watch(firstEraRevision(0), 2500);
     assert.deepEqual(asked, ['store 2500', 'store 1000', 'store 2500']);
   });
 });
--- a/src/coordination/coordination.test.ts
+++ b/src/coordination/coordination.test.ts
@@ -5,12 +5,12 @@
  */
 import assert from 'node:assert/strict';
 import { after, describe, test } from 'node:test';
-import { MemoryStore, settle } from '../../test/support/memory-store.js';
+import { MemoryStore, runPendingCallbacks } from '../../test/support/memory-store.js';
 import type { CoordinationStore, StoredItem } from './coordination-store.js';
 import { DUTY_LEASE, TAKEOVER_WAIT_MS } from './duty-record.js';
 import { Duty, type LocalCopy } from './duty.js';
-import { SeenStore } from '../../test/support/seen-store.js';
-import { at } from '../../test/support/revisions.js';
+import { DaemonStoreView } from '../../test/support/daemon-store-view.js';
+import { firstEraRevision } from '../../test/support/revisions.js';
 
 interface Holder {
   readonly duty: Duty;
@@ -44,7 +44,7 @@
 /** Starts a daemon, which registers and requests the duty. */
 async function running(started: Holder): Promise<Holder> {
   void started.duty.run();
-  await settle();
+  await runPendingCallbacks();
   return started;
 }
 
@@ -95,9 +95,9 @@
     const first = holder(store, 'd1', clock);
     const second = holder(store, 'd2', clock);
     void first.duty.run();
-    await settle();
+    await runPendingCallbacks();
     void second.duty.run();
-    await settle();
+    await runPendingCallbacks();
     assert.equal(first.duty.heldFence(0), 1);
     assert.equal(second.duty.heldFence(0), null);
     await first.duty.stop();
@@ -148,7 +148,7 @@
     await second.duty.keysChanged();
     clock.now = 1000;
     void second.duty.run();
-    await settle();
+    await runPendingCallbacks();
     // The store deletes the key; the holder, disconnected from it, is not notified.
     store.items.delete(DUTY_KEY);
     await second.duty.keysChanged();
@@ -164,7 +164,7 @@
     assert.equal(first.duty.heldFence(0), null);
     // The second renews its lease, and the first detects that it has lost the duty.
     while (store.reads < 2) await new Promise((resolve) => setTimeout(resolve, 10));
-    await settle();
+    await runPendingCallbacks();
     assert.equal(first.events.at(-1), 'lost');
     assertNeverBoth(deletedAtMs + TAKEOVER_WAIT_MS - 50);
     assert.equal(second.duty.heldFence(0), null);
@@ -181,10 +181,10 @@
     const second = holder(store, 'd2', clock, true);
     await second.duty.keysChanged();
     void second.duty.run();
-    await settle();
+    await runPendingCallbacks();
     store.items.delete(DUTY_KEY);
     await second.duty.keysChanged();
-    await settle();
+    await runPendingCallbacks();
     assert.equal(second.duty.heldFence(0), 2);
   });
 
@@ -207,7 +207,7 @@
     const store = new MemoryStore();
     const clock = { now: 0 };
     const events: string[] = [];
-    const old = { items: new Map<string, StoredItem>(), revision: at(0) };
+    const old = { items: new Map<string, StoredItem>(), revision: firstEraRevision(0) };
     const duty = new Duty(
       store,
       { name: 'd1', life: 'l', host: 'h', port: 1, gatewayPort: 2, zone: 'a', capacity: 1 },
@@ -222,7 +222,7 @@
       () => 0.5,
     );
     void duty.run();
-    await settle();
+    await runPendingCallbacks();
     await duty.keysChanged();
     assert.deepEqual(events, ['taken 1']);
     await duty.stop();
@@ -248,7 +248,7 @@
     const second = holder(store, 'd2', clock);
     await second.duty.keysChanged();
     void second.duty.run();
-    await settle();
+    await runPendingCallbacks();
     assert.equal(second.duty.isHolder, true);
     assert.equal(second.duty.heldFence(0), null);
     await first.duty.stop();
@@ -271,18 +271,18 @@
   }
 
   interface ViewedHolder extends Holder {
-    readonly view: SeenStore;
+    readonly view: DaemonStoreView;
   }
 
   function viewedHolder(store: MemoryStore, name: string, clock: { now: number }): ViewedHolder {
-    const view = new SeenStore(store);
+    const view = new DaemonStoreView(store);
     return { view, ...holder(view, name, clock) };
   }
 
   async function refreshView({ view, duty }: ViewedHolder): Promise<void> {
-    view.look();
+    view.refresh();
     await duty.keysChanged();
-    await settle();
+    await runPendingCallbacks();
   }
 
   /**
@@ -296,13 +296,13 @@
     await refreshView(first);
     await running(first);
     await first.duty.stop();
-    const backup = store.copy();
+    const backup = store.createBackup();
     const last = viewedHolder(store, 'd2', clock);
     await refreshView(last);
     await running(last);
     assert.equal(last.duty.heldFence(0), 2);
-    last.view.isCut = isLastDisconnected;
-    store.comeBackFrom(backup);
+    last.view.isDisconnected = isLastDisconnected;
+    store.restoreBackup(backup);
     const next = viewedHolder(store, 'd3', clock);
     await refreshView(next);
     await running(next);
@@ -341,7 +341,7 @@
     await refreshView(daemon);
     await running(daemon);
     assert.equal(daemon.duty.isHolder, true);
-    store.comeBackFrom({ items: new Map(), number: 1 });
+    store.restoreBackup({ items: new Map(), number: 1 });
     await daemon.view.read('anything');
     await daemon.duty.keysChanged();
     assert.equal(daemon.duty.isHolder, false);
@@ -355,7 +355,7 @@
   async function afterRenewal({ view }: ViewedHolder): Promise<void> {
     const { reads } = view;
     await waitFor(() => view.reads > reads, 'the lease is renewed');
-    await settle();
+    await runPendingCallbacks();
   }
 });
 
--- a/src/coordination/foreign-keys.test.ts
+++ b/src/coordination/foreign-keys.test.ts
@@ -6,13 +6,13 @@
 import assert from 'node:assert/strict';
 import { after, describe, test } from 'node:test';
 import fc from 'fast-check';
-import { MemoryStore, settle } from '../../test/support/memory-store.js';
+import { MemoryStore, runPendingCallbacks } from '../../test/support/memory-store.js';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { Registration } from '../cluster/registration.js';
 import { StoreError, type StoredItem } from './coordination-store.js';
 import { listLeasedDaemons, readDaemons } from './daemon-register.js';
 import { Duty } from './duty.js';
-import { at } from '../../test/support/revisions.js';
+import { firstEraRevision } from '../../test/support/revisions.js';
 
 /** Runs of the property; set `FUZZ_RUNS=10000` for more runs and `FUZZ_SEED=4` for another seed. */
 const FUZZ = {
@@ -36,7 +36,9 @@
 }
 
 function itemsOf(entries: readonly (readonly [string, Buffer])[]): ReadonlyMap<string, StoredItem> {
-  return new Map(entries.map(([key, value], index) => [key, { key, value, revision: at(index + 1) }]));
+  return new Map(
+    entries.map(([key, value], index) => [key, { key, value, revision: firstEraRevision(index + 1) }]),
+  );
 }
 
 const INVALID_RECORDS: readonly (readonly [string, Buffer])[] = [
@@ -137,7 +139,7 @@
   started.push(duty);
   await duty.keysChanged();
   void duty.run();
-  await settle();
+  await runPendingCallbacks();
   return { store, duty, events, clock };
 }
 
@@ -202,7 +204,7 @@
       const { store, duty, events } = await running();
       overwrite(store, FENCE_KEY, Buffer.from(text));
       await duty.stop();
-      await settle();
+      await runPendingCallbacks();
       const { events: later } = await running(store);
       const [first, second] = [events[0], later[0]].map((event) => Number(event?.replace('taken ', '')));
       assert.equal(first, 1);
--- a/src/coordination/watched-store.test.ts
+++ b/src/coordination/watched-store.test.ts
@@ -5,10 +5,10 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { MemoryStore, settle } from '../../test/support/memory-store.js';
+import { MemoryStore, runPendingCallbacks } from '../../test/support/memory-store.js';
 import { StoreError } from './coordination-store.js';
 import { WatchedStore } from './watched-store.js';
-import { at } from '../../test/support/revisions.js';
+import { firstEraRevision } from '../../test/support/revisions.js';
 import { StoreEra } from './store-era.js';
 
 async function until(condition: () => boolean): Promise<void> {
@@ -50,14 +50,22 @@
 
   test('reports the items, then their changes, and never an older revision', async () => {
     const store = new MemoryStore();
-    store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
-    store.items.set('b/1', { key: 'b/1', value, revision: at(5), leaseId: 0 });
+    store.items.set('a/1', { key: 'a/1', value, revision: firstEraRevision(5), leaseId: 0 });
+    store.items.set('b/1', { key: 'b/1', value, revision: firstEraRevision(5), leaseId: 0 });
     store.watchAnswers = [
-      { kind: 'events', events: [{ key: 'a/1', value, revision: at(4) }], revision: at(6) },
-      { kind: 'events', events: [{ key: 'a/1', value: null, revision: at(7) }], revision: at(7) },
+      {
+        kind: 'events',
+        events: [{ key: 'a/1', value, revision: firstEraRevision(4) }],
+        revision: firstEraRevision(6),
+      },
+      {
+        kind: 'events',
+        events: [{ key: 'a/1', value: null, revision: firstEraRevision(7) }],
+        revision: firstEraRevision(7),
+      },
     ];
     const { watched, reported } = startCopy(store);
-    await settle();
+    await runPendingCallbacks();
     watched.stop();
     assert.deepEqual(reported, ['a/1@5', 'settled', 'settled', '-a/1', 'settled']);
   });
@@ -65,12 +73,20 @@
   test('pauses after a response with changes, so that the next ones are batched, and not after an empty one', async () => {
     const store = new MemoryStore();
     store.watchAnswers = [
-      { kind: 'events', events: [{ key: 'a/1', value, revision: at(4) }], revision: at(4) },
-      { kind: 'events', events: [], revision: at(5) },
-      { kind: 'events', events: [{ key: 'b/1', value, revision: at(6) }], revision: at(6) },
+      {
+        kind: 'events',
+        events: [{ key: 'a/1', value, revision: firstEraRevision(4) }],
+        revision: firstEraRevision(4),
+      },
+      { kind: 'events', events: [], revision: firstEraRevision(5) },
+      {
+        kind: 'events',
+        events: [{ key: 'b/1', value, revision: firstEraRevision(6) }],
+        revision: firstEraRevision(6),
+      },
     ];
     const { watched, pauses } = startCopy(store);
-    await settle();
+    await runPendingCallbacks();
     watched.stop();
     assert.deepEqual(pauses, [50, 50]);
   });
@@ -79,12 +95,12 @@
     const store = new MemoryStore();
     store.watchAnswers = [67, 900].map((revision) => ({
       kind: 'events',
-      events: [{ key: 'a/1', value, revision: at(revision) }],
-      revision: at(revision),
+      events: [{ key: 'a/1', value, revision: firstEraRevision(revision) }],
+      revision: firstEraRevision(revision),
     }));
     const { watched, pauses } = startCopy(store);
     watched.watcherCount = 30;
-    await settle();
+    await runPendingCallbacks();
     watched.stop();
     assert.deepEqual(pauses.slice(0, 1), [108]);
     watched.watcherCount = 900;
@@ -93,12 +109,12 @@
 
   test('reads the whole store again when its history was compacted', async () => {
     const store = new MemoryStore();
-    store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
+    store.items.set('a/1', { key: 'a/1', value, revision: firstEraRevision(5), leaseId: 0 });
     store.watchAnswers = [{ kind: 'compacted' }];
     const { watched, reported } = startCopy(store);
     store.items.delete('a/1');
-    store.items.set('a/2', { key: 'a/2', value, revision: at(9), leaseId: 0 });
-    await settle();
+    store.items.set('a/2', { key: 'a/2', value, revision: firstEraRevision(9), leaseId: 0 });
+    await runPendingCallbacks();
     watched.stop();
     assert.ok(store.lists >= 2);
     assert.ok(reported.includes('a/2@9'));
@@ -111,7 +127,7 @@
       const failing = (): Promise<never> => Promise.reject(new StoreError('turned away', false));
       const watched: WatchedStore = new WatchedStore({
         feed: {
-          list: () => (hasRead ? Promise.resolve({ items: [], revision: at(3) }) : failing()),
+          list: () => (hasRead ? Promise.resolve({ items: [], revision: firstEraRevision(3) }) : failing()),
           watch: failing,
         },
         era: new StoreEra(),
@@ -152,7 +168,7 @@
     prefetched.prefetch();
     assert.equal(early.lists, 1);
     void prefetched.run();
-    await settle();
+    await runPendingCallbacks();
     assert.equal(early.lists, 1);
     prefetched.stop();
   });
@@ -164,14 +180,14 @@
       throw new Error('secret');
     };
     const store = new MemoryStore();
-    store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
+    store.items.set('a/1', { key: 'a/1', value, revision: firstEraRevision(5), leaseId: 0 });
     store.watchAnswers = [6, 7, 8].map((revision) => ({
       kind: 'events',
       events: [
-        { key: 'a/2', value, revision: at(revision) },
-        { key: 'a/1', value: null, revision: at(revision) },
+        { key: 'a/2', value, revision: firstEraRevision(revision) },
+        { key: 'a/1', value: null, revision: firstEraRevision(revision) },
       ],
-      revision: at(revision),
+      revision: firstEraRevision(revision),
     }));
     const watched = new WatchedStore({
       feed: {
@@ -192,11 +208,11 @@
       availability: (isAvailable) => reported.push(isAvailable ? 'up' : 'down'),
     });
     void watched.run();
-    await settle();
+    await runPendingCallbacks();
     assert.deepEqual(reported.slice(0, 2), ['a/1@5', 'settled']);
     assert.deepEqual(reported.slice(2, 5), ['a/2@6', '-a/1', 'settled']);
     assert.deepEqual(reported.slice(5), ['a/2@7', 'settled', 'a/2@8', 'settled']);
-    watched.offer({ key: 'a/3', value, revision: at(9) });
+    watched.offer({ key: 'a/3', value, revision: firstEraRevision(9) });
     assert.equal(reported.at(-1), 'a/3@9');
     assert.ok(lines.length > 0 && lines.length <= 6, lines.join('\n'));
     assert.ok(lines.every((line) => line.startsWith('listener_failed') && !line.includes('secret')));
@@ -219,7 +235,7 @@
       log: () => undefined,
       now: () => 0,
       random: () => 0.5,
-      sleep: () => settle(),
+      sleep: () => runPendingCallbacks(),
     });
     const quiet = { changed: () => undefined, removed: () => undefined, settled: () => undefined };
     watched.subscribe('', {
@@ -230,7 +246,7 @@
     });
     watched.subscribe('', { ...quiet, availability: (isAvailable) => reported.push(isAvailable) });
     const ended = watched.run().catch((error: unknown) => error);
-    await settle();
+    await runPendingCallbacks();
     isDown = true;
     await until(() => reported.length === 1);
     isDown = false;
@@ -267,10 +283,14 @@
 
   test('reads the store again after a restore that was detected while no watch was in progress', async () => {
     const store = new MemoryStore();
-    store.items.set('a/1', { key: 'a/1', value, revision: at(5), leaseId: 0 });
+    store.items.set('a/1', { key: 'a/1', value, revision: firstEraRevision(5), leaseId: 0 });
     const { watched, reported } = startCopy(store);
     store.watchAnswers = [
-      { kind: 'events', events: [{ key: 'a/1', value, revision: at(6) }], revision: at(6) },
+      {
+        kind: 'events',
+        events: [{ key: 'a/1', value, revision: firstEraRevision(6) }],
+        revision: firstEraRevision(6),
+      },
     ];
     store.era.observe(1);
     await until(() => store.lists >= 2);
--- a/src/gateway/assignments.test.ts
+++ b/src/gateway/assignments.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { fleetOf } from '../../test/support/daemon-records.js';
+import { daemonRecords } from '../../test/support/daemon-records.js';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import type { MemberEntry } from '../topology/member-group.js';
 import { Assignments } from './assignments.js';
@@ -45,7 +45,7 @@
 });
 
 test('daemons that start together stay within the limit, although each knows few others yet', () => {
-  const fleet = fleetOf(195);
+  const fleet = daemonRecords(195);
   for (const member of MEMBERS) {
     let planned = 0;
     for (const [index, { name }] of fleet.entries())
@@ -55,13 +55,13 @@
 });
 
 test('after the startup period, connections are assigned among the live daemons', () => {
-  const fleet = fleetOf(195);
+  const fleet = daemonRecords(195);
   const assignments = assignmentsOf('d0', fleet.slice(0, 6), fleet, 10_000);
   for (const member of MEMBERS) assert.equal(assignments.budget(member), 4);
 });
 
 test('a member whose new incarnation has other slots, another zone or another group is assigned anew', () => {
-  const fleet = fleetOf(60);
+  const fleet = daemonRecords(60);
   const [member] = MEMBERS;
   assert.ok(member !== undefined);
   for (const change of [{ slots: 1 }, { zone: 'b' }, { groupName: 'other' }]) {
--- a/src/gateway/gateway-server.test.ts
+++ b/src/gateway/gateway-server.test.ts
@@ -20,7 +20,7 @@
 import type { BorrowedLink } from './borrowed-link.js';
 import { GatewayClient } from './gateway-client.js';
 import { GatewayServer } from './gateway-server.js';
-import { at } from '../../test/support/revisions.js';
+import { firstEraRevision } from '../../test/support/revisions.js';
 
 /** An address specific to this process, so that concurrent test runs do not conflict. */
 const HOST = `127.78.${(process.pid >> 8) & 255}.${1 + (process.pid % 250)}`;
@@ -134,7 +134,7 @@
 test('winding up ends a loan with a statement in flight after the reply', async () => {
   const loan = await loanInTransaction();
   const outcome = outcomeOf(loan.send(WRITE));
-  await waitUntil('the member to receive the request', () => memberLink().isAsked);
+  await waitUntil('the member to receive the request', () => memberLink().hasPendingRequest);
   server.windUp();
   assert.equal(loan.isOpen, true);
   memberLink().answer();
@@ -147,7 +147,7 @@
   const loan = await loanInTransaction();
   server.windUp();
   assert.equal(await outcomeOf(loan.send(COMMIT)), 'not sent');
-  assert.deepEqual(memberLink().ran, ['statement inside']);
+  assert.deepEqual(memberLink().executed, ['statement inside']);
 });
 
 test('a new request is refused as not run while the gateway is winding up', async () => {
@@ -159,7 +159,7 @@
 test('a request in flight when the gateway finishes is reported as lost, and its loan ends', async () => {
   const loan = await loanInTransaction();
   const outcome = outcomeOf(loan.send(COMMIT));
-  await waitUntil('the member to receive the request', () => memberLink().isAsked);
+  await waitUntil('the member to receive the request', () => memberLink().hasPendingRequest);
   await server.finish();
   assert.equal(await outcome, 'lost');
   assert.equal(server.openLoans, 0);
@@ -168,7 +168,7 @@
 test('a reply is delivered even if the connection ends right after it', async () => {
   const loan = await loanInTransaction();
   const outcome = outcomeOf(loan.send(COMMIT));
-  await waitUntil('the member to receive the request', () => memberLink().isAsked);
+  await waitUntil('the member to receive the request', () => memberLink().hasPendingRequest);
   memberLink().answer();
   await new Promise((resolve) => setImmediate(resolve));
   await server.finish();
@@ -184,12 +184,12 @@
   const outcome = outcomeOf(client.borrow(RECORD, TERMS).send(WRITE));
   assert.equal(await outcome, 'not sent');
   await finished;
-  assert.equal(memberLink().ran.length, 1);
+  assert.equal(memberLink().executed.length, 1);
 });
 
 test('a request for changes that is pending when the gateway finishes does not delay it', async () => {
   const startMs = performance.now();
-  const answer = client.requestChanges(RECORD, at(0), 60_000, 60_000);
+  const answer = client.requestChanges(RECORD, firstEraRevision(0), 60_000, 60_000);
   await client.requestEvidence(RECORD, 1000);
   await server.finish();
   assert.equal(await answer, null);
@@ -210,7 +210,7 @@
   test('leaves the outcome of a request in flight unknown', async () => {
     const loan = await loanInTransaction();
     const outcome = outcomeOf(loan.send(COMMIT));
-    await waitUntil('the member to receive the request', () => memberLink().isAsked);
+    await waitUntil('the member to receive the request', () => memberLink().hasPendingRequest);
     server.endLoans(pool);
     pool.closePermanently();
     assert.equal(await outcome, 'lost');
--- a/src/gateway/tenant-gateways.test.ts
+++ b/src/gateway/tenant-gateways.test.ts
@@ -5,10 +5,10 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { fleetOf } from '../../test/support/daemon-records.js';
+import { daemonRecords } from '../../test/support/daemon-records.js';
 import { gatewaysOfTenant } from './tenant-gateways.js';
 
-const GATEWAYS = fleetOf(6);
+const GATEWAYS = daemonRecords(6);
 
 function namesFor(tenantName: string, share: number, memberId = 'm'): string[] {
   return gatewaysOfTenant(tenantName, share, memberId, GATEWAYS).map(({ name }) => name);
--- a/src/leadership/earlier-duty-holder.test.ts
+++ b/src/leadership/earlier-duty-holder.test.ts
@@ -28,7 +28,7 @@
   assert.ok(model.commit(model.member('old')));
   model.member('old').state = 'ended';
   const answer = { latest: COMMIT, limit: COMMIT, openCall: call };
-  model.daemons.set('d2', { kind: 'answered', answer });
+  model.orderOutcomes.set('d2', { kind: 'answered', answer });
   return model;
 }
 
@@ -40,7 +40,7 @@
 async function timeToCall(model: ModelledGroup): Promise<number> {
   const startedAtMs = performance.now();
   const running = model.supervisor.run();
-  await model.reached('promotion_call');
+  await model.waitForEvent('promotion_call');
   const waitedMs = performance.now() - startedAtMs;
   model.supervisor.stop();
   await running;
@@ -53,7 +53,7 @@
   test('may act: nobody else is named, and the member that comes to lead stays', async () => {
     const model = crashedPrimary(CALL);
     const running = model.supervisor.run();
-    setTimeout(() => model.lead('other'), PROMOTED_MS);
+    setTimeout(() => model.makeLeader('other'), PROMOTED_MS);
     await delay(LEFT_MS + SEVERAL_POLLS_MS);
     model.supervisor.stop();
     await running;
@@ -97,7 +97,7 @@
   test('is replaced where a paused replica holds more', async () => {
     const model = recentlyPromoted();
     model.member('old').received = { term: FIRST_TERM, index: 0 };
-    await model.until('promotion_call');
+    await model.runUntil('promotion_call');
   });
 
   test('is replaced if the known call is for another member', async () => {
@@ -106,7 +106,7 @@
       { memberId: 'one', fence: EARLIER_FENCE, leftMs: PROMOTED_MS },
       performance.now(),
     );
-    await model.until('promotion_call');
+    await model.runUntil('promotion_call');
   });
 });
 
--- a/src/leadership/ended-daemon.test.ts
+++ b/src/leadership/ended-daemon.test.ts
@@ -40,7 +40,7 @@
 
   /** The daemon is still down. */
   stayDown(): void {
-    this.model.daemons.set('d2', { kind: 'gone', absence: this.#absence });
+    this.model.orderOutcomes.set('d2', { kind: 'gone', absence: this.#absence });
   }
 
   /**
@@ -54,7 +54,7 @@
         return performance.now() - beganMs;
       },
     };
-    this.model.daemons.set('d2', { kind: 'answered', answer, absence: this.#absence });
+    this.model.orderOutcomes.set('d2', { kind: 'answered', answer, absence: this.#absence });
   }
 
   /** Another daemon asked the leader for its position `afterMs` after the end. */
@@ -66,11 +66,11 @@
         return performance.now() - askedAtMs;
       },
     };
-    this.model.daemons.set('d3', { kind: 'answered', answer: { latest: COMMIT, limit: COMMIT, led } });
+    this.model.orderOutcomes.set('d3', { kind: 'answered', answer: { latest: COMMIT, limit: COMMIT, led } });
   }
 
   isLed(): Promise<boolean> {
-    return this.model.isLedWithin(PROMOTION_LIMIT_MS);
+    return this.model.completesPromotionWithin(PROMOTION_LIMIT_MS);
   }
 }
 
@@ -118,7 +118,7 @@
   test('is not bounded if its end was not detected', async () => {
     const daemon = await daemonEndedBefore();
     const outcome: OrderOutcome = { kind: 'gone' };
-    daemon.model.daemons.set('d2', outcome);
+    daemon.model.orderOutcomes.set('d2', outcome);
     daemon.reportLeaderPosition(STEP_MS);
     assert.equal(await daemon.isLed(), false, daemon.model.events.join(', '));
   });
@@ -140,8 +140,8 @@
     await running;
     model.member('old').state = 'ended';
     model.member('two').state = 'dark';
-    model.daemons.set('d2', { kind: 'gone', absence });
-    await Promise.race([model.until('promotion_ends'), model.reached('promotion_given_up')]);
+    model.orderOutcomes.set('d2', { kind: 'gone', absence });
+    await Promise.race([model.runUntil('promotion_ends'), model.waitForEvent('promotion_given_up')]);
     model.supervisor.stop();
     assert.ok(model.events.includes('promotion_ends'), model.events.join(', '));
   });
@@ -154,15 +154,15 @@
     const model = new ModelledGroup(['old', 'one', 'two']);
     model.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     model.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
-    model.member('old').isCutFromHolder = true;
+    model.member('old').isUnreachableFromHolder = true;
     const ENDED_DAEMONS = 20;
     await Promise.all(Array.from({ length: ENDED_DAEMONS }, () => model.supervisor.daemonEnded()));
-    const { statuses } = model.member('old');
+    const { statusRequestCount: statuses } = model.member('old');
     assert.ok(statuses > 0 && statuses < ENDED_DAEMONS / 2, `asked ${statuses} times`);
-    model.member('old').isCutFromHolder = false;
+    model.member('old').isUnreachableFromHolder = false;
     const laterMs = performance.now();
     await model.supervisor.daemonEnded();
-    assert.equal(model.member('old').statuses, statuses + 1);
+    assert.equal(model.member('old').statusRequestCount, statuses + 1);
     assert.ok(model.group.positions.floorSince(laterMs));
   });
 });
--- a/src/leadership/leader-restart.test.ts
+++ b/src/leadership/leader-restart.test.ts
@@ -12,7 +12,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { FIRST_TERM, ModelledGroup } from '../../test/support/modelled-group.js';
-import { startNextLife, type Kept } from '../../test/support/next-life.js';
+import { restartMember, type KeptData } from '../../test/support/restart-member.js';
 import { hasReached, type Position } from '../position/position.js';
 
 const COMMIT: Position = { term: FIRST_TERM, index: 2 };
@@ -26,18 +26,18 @@
 function groupWithIncarnations(): ModelledGroup {
   const fixture = new ModelledGroup(['old', 'one', 'two']);
   for (const memberId of ['old', 'one', 'two'])
-    fixture.group.removeFormer(startNextLife(fixture, memberId, 'log'));
+    fixture.group.removeFormer(restartMember(fixture, memberId, 'log'));
   fixture.member('old').isPrimary = true;
   fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, fixture.member('old').received);
   const answer = { latest: { term: FIRST_TERM, index: 0 }, limit: null };
-  fixture.daemons.set('d2', { kind: 'answered', answer });
+  fixture.orderOutcomes.set('d2', { kind: 'answered', answer });
   return fixture;
 }
 
 /** Restarts the leader. Its next incarnation does not answer the holder of the duty. */
-function restartLeader(fixture: ModelledGroup, kept: Kept): void {
-  startNextLife(fixture, 'old', kept);
-  fixture.member('old').isCutFromHolder = true;
+function restartLeader(fixture: ModelledGroup, kept: KeptData): void {
+  restartMember(fixture, 'old', kept);
+  fixture.member('old').isUnreachableFromHolder = true;
 }
 
 describe('the unresponsive next incarnation of a leader', () => {
@@ -47,7 +47,7 @@
       const fixture = groupWithIncarnations();
       assert.ok(fixture.commit(fixture.member('old')));
       restartLeader(fixture, kept);
-      assert.ok(await fixture.isLedWithin(ATTEMPTS_MS), fixture.events.join(', '));
+      assert.ok(await fixture.completesPromotionWithin(ATTEMPTS_MS), fixture.events.join(', '));
       const leader = ['one', 'two'].map((id) => fixture.member(id)).find(({ isPrimary }) => isPrimary);
       assert.ok(leader !== undefined && hasReached(leader.received, COMMIT), fixture.events.join(', '));
     });
@@ -56,7 +56,7 @@
   test('is not waited for in a group in which nothing was committed', async () => {
     const fixture = groupWithIncarnations();
     restartLeader(fixture, 'nothing');
-    assert.ok(await fixture.isLedWithin(ATTEMPTS_MS), fixture.events.join(', '));
+    assert.ok(await fixture.completesPromotionWithin(ATTEMPTS_MS), fixture.events.join(', '));
   });
 
   /**
@@ -65,42 +65,42 @@
    */
   test('is waited for while a replica does not answer', async () => {
     const fixture = groupWithIncarnations();
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.member('one').isCutFromHolder = true;
+    fixture.member('one').isUnreachableFromHolder = true;
     restartLeader(fixture, 'log');
-    assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
+    assert.equal(await fixture.completesPromotionWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
   test('is waited for while a leaving replica does not answer', async () => {
     const fixture = groupWithIncarnations();
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
     const leaving = fixture.group.members.get('one');
     assert.ok(leaving);
     leaving.leavingSinceMs = performance.now();
-    fixture.member('one').isCutFromHolder = true;
+    fixture.member('one').isUnreachableFromHolder = true;
     restartLeader(fixture, 'log');
-    assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
+    assert.equal(await fixture.completesPromotionWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
   test('is waited for while the last position of a departed replica is unknown', async () => {
     const fixture = groupWithIncarnations();
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.retire('one');
+    fixture.delist('one');
     fixture.member('one').state = 'ended';
     restartLeader(fixture, 'log');
-    assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
+    assert.equal(await fixture.completesPromotionWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
   test('is waited for when the only replica with the commit has restarted without its log', async () => {
     const fixture = groupWithIncarnations();
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    startNextLife(fixture, 'one', 'nothing');
+    restartMember(fixture, 'one', 'nothing');
     restartLeader(fixture, 'log');
-    assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
+    assert.equal(await fixture.completesPromotionWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
   /**
@@ -109,8 +109,8 @@
    */
   test('is waited for when the replicas lack what the term began with', async () => {
     const fixture = groupWithIncarnations();
-    fixture.member('two').isDeaf = true;
-    fixture.member('one').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
+    fixture.member('one').isReplicationStopped = true;
     const old = fixture.member('old');
     old.received = COMMIT;
     const before = FIRST_TERM;
@@ -118,7 +118,7 @@
     for (const memberId of ['one', 'two']) fixture.member(memberId).term = before + 1;
     fixture.group.recordLeader({ memberId: 'old', term: before + 1 }, old.received);
     restartLeader(fixture, 'log');
-    assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
+    assert.equal(await fixture.completesPromotionWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
   /** The position that a replica reports may be lower than that of the leader at the start of the term. */
@@ -129,6 +129,6 @@
     fixture.group.recordReplicaPosition(fixture.member('two').received);
     fixture.member('old').received = COMMIT;
     restartLeader(fixture, 'log');
-    assert.equal(await fixture.isLedWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
+    assert.equal(await fixture.completesPromotionWithin(ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 });
--- a/src/leadership/promotion-after-restarts.test.ts
+++ b/src/leadership/promotion-after-restarts.test.ts
@@ -13,7 +13,7 @@
 import { describe, test, type TestContext } from 'node:test';
 import { delay } from '../common/signal.js';
 import { FIRST_TERM, ModelledGroup } from '../../test/support/modelled-group.js';
-import { startNextLife } from '../../test/support/next-life.js';
+import { restartMember } from '../../test/support/restart-member.js';
 import type { OrderOutcome } from '../cluster/peer-mesh.js';
 import { hasReached, type Position } from '../position/position.js';
 
@@ -31,7 +31,7 @@
 async function isPromotedWithin(fixture: ModelledGroup, ms: number): Promise<boolean> {
   const running = fixture.supervisor.run();
   fixture.supervisor.suspect();
-  await Promise.race([fixture.reached('promotion_ends').catch(() => undefined), delay(ms)]);
+  await Promise.race([fixture.waitForEvent('promotion_ends').catch(() => undefined), delay(ms)]);
   fixture.supervisor.stop();
   await running;
   return fixture.events.includes('promotion_ends');
@@ -51,10 +51,10 @@
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'old', 'nothing');
-    startNextLife(fixture, 'one', 'log');
-    startNextLife(fixture, 'two', 'log');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'old', 'nothing');
+    restartMember(fixture, 'one', 'log');
+    restartMember(fixture, 'two', 'log');
     assert.ok(await isPromotedWithin(fixture, PROMOTION_TIMEOUT_MS), fixture.events.join(', '));
     assert.ok(hasReached(leaderPosition(fixture), COMMIT), fixture.events.join(', '));
   });
@@ -67,9 +67,9 @@
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'one', 'log');
-    fixture.retire('old');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'one', 'log');
+    fixture.delist('old');
     fixture.group.evidence.clearLeader();
     fixture.member('old').isPrimary = false;
     assert.ok(await isPromotedWithin(fixture, PROMOTION_TIMEOUT_MS), fixture.events.join(', '));
@@ -83,13 +83,13 @@
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.group.evidence.clearLeader();
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'old', 'nothing');
-    startNextLife(fixture, 'one', 'log');
-    startNextLife(fixture, 'two', 'log');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'old', 'nothing');
+    restartMember(fixture, 'one', 'log');
+    restartMember(fixture, 'two', 'log');
     const lastLed = { term: FIRST_TERM, life: { memberId: 'old', bornMs: null } };
     const answer = { latest: COMMIT, limit: COMMIT, lastLed };
-    fixture.daemons.set('d3', { kind: 'answered', answer });
+    fixture.orderOutcomes.set('d3', { kind: 'answered', answer });
     assert.ok(await isPromotedWithin(fixture, PROMOTION_TIMEOUT_MS), fixture.events.join(', '));
     assert.ok(hasReached(leaderPosition(fixture), COMMIT), fixture.events.join(', '));
   });
@@ -98,12 +98,12 @@
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.group.evidence.clearLeader();
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'one', 'nothing');
-    startNextLife(fixture, 'two', 'log');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'one', 'nothing');
+    restartMember(fixture, 'two', 'log');
     fixture.group.members.delete('old');
     const lastLed = { term: FIRST_TERM - 1, life: { memberId: 'two', bornMs: null } };
-    fixture.daemons.set('d3', { kind: 'answered', answer: { latest: COMMIT, limit: COMMIT, lastLed } });
+    fixture.orderOutcomes.set('d3', { kind: 'answered', answer: { latest: COMMIT, limit: COMMIT, lastLed } });
     assert.equal(await isPromotedWithin(fixture, ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
@@ -113,15 +113,15 @@
    */
   test('are missing where a holder that never knew the leader learns of it from a daemon', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
     fixture.group.evidence.clearLeader();
     fixture.group.members.delete('old');
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'one', 'nothing');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'one', 'nothing');
     const lastLed = { term: FIRST_TERM, life: { memberId: 'old', bornMs: null } };
     const answer = { latest: { term: FIRST_TERM, index: 1 }, limit: COMMIT, lastLed };
-    fixture.daemons.set('d3', { kind: 'answered', answer });
+    fixture.orderOutcomes.set('d3', { kind: 'answered', answer });
     assert.equal(await isPromotedWithin(fixture, ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
@@ -132,9 +132,9 @@
   test('are covered when they ended, and were listed no more, while the leader led', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'spare']);
     fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
-    startNextLife(fixture, 'spare', 'log');
+    restartMember(fixture, 'spare', 'log');
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.daemons.set('d2', DAEMON_GONE);
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
     fixture.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     const spare = fixture.group.members.get('spare');
     assert.ok(spare);
@@ -142,10 +142,10 @@
     fixture.member('spare').state = 'ended';
     const running = fixture.supervisor.run();
     await delay(FIRST_CHECK_MS);
-    startNextLife(fixture, 'old', 'nothing');
+    restartMember(fixture, 'old', 'nothing');
     fixture.supervisor.suspect();
     await Promise.race([
-      fixture.reached('promotion_ends').catch(() => undefined),
+      fixture.waitForEvent('promotion_ends').catch(() => undefined),
       delay(PROMOTION_TIMEOUT_MS),
     ]);
     fixture.supervisor.stop();
@@ -167,17 +167,17 @@
     Object.assign(fixture.member('far'), { isPrimary: false, received: COMMIT, state: 'dark' });
     fixture.member('old').state = 'ended';
     fixture.group.members.delete('old');
-    fixture.daemons.set('d2', DAEMON_GONE);
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
     assert.equal(await isPromotedWithin(fixture, ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
   /** The only remaining copy may be that of the leader, which is down and may come back with its log. */
   test('are missing while the leader is down', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'one', 'nothing');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'one', 'nothing');
     fixture.member('old').state = 'ended';
     assert.equal(await isPromotedWithin(fixture, ATTEMPTS_MS), false, fixture.events.join(', '));
   });
@@ -186,17 +186,17 @@
   test('are missing while their next life has not been looked at', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'old', 'nothing');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'old', 'nothing');
     let isReplaced = false;
     Object.defineProperty(fixture.member('two'), 'statuses', {
       get: () => 0,
       set: () => {
         if (isReplaced || !fixture.events.includes('seal')) return;
         isReplaced = true;
-        startNextLife(fixture, 'one', 'log');
+        restartMember(fixture, 'one', 'log');
       },
     });
     assert.ok(await isPromotedWithin(fixture, PROMOTION_TIMEOUT_MS), fixture.events.join(', '));
@@ -208,11 +208,11 @@
   test('are missing while the next incarnation of one of them does not answer: it may have the log', async () => {
     const fixture = new ModelledGroup(['old', 'one', 'two']);
     fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
-    fixture.member('two').isDeaf = true;
+    fixture.member('two').isReplicationStopped = true;
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.daemons.set('d2', DAEMON_GONE);
-    startNextLife(fixture, 'old', 'nothing');
-    startNextLife(fixture, 'one', 'log');
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
+    restartMember(fixture, 'old', 'nothing');
+    restartMember(fixture, 'one', 'log');
     fixture.member('one').state = 'dark';
     assert.equal(await isPromotedWithin(fixture, ATTEMPTS_MS), false, fixture.events.join(', '));
   });
@@ -242,7 +242,7 @@
         return performance.now() - countsFromMs;
       },
     };
-    fixture.daemons.set('d2', { kind: 'answered', answer });
+    fixture.orderOutcomes.set('d2', { kind: 'answered', answer });
     fixture.group.recordLeaderPosition(askedAtMs, COMMIT);
     fixture.member('old').state = 'ended';
     fixture.member('two').state = 'dark';
@@ -262,7 +262,7 @@
 
   test('is not bounded where it does not report since when it keeps count', async () => {
     const fixture = leaderEndedAfterReport(OFFSET_MS);
-    fixture.daemons.set('d2', { kind: 'answered', answer: INCOMPLETE_ANSWER });
+    fixture.orderOutcomes.set('d2', { kind: 'answered', answer: INCOMPLETE_ANSWER });
     assert.equal(await isPromotedWithin(fixture, ATTEMPTS_MS), false, fixture.events.join(', '));
   });
 
@@ -270,7 +270,7 @@
     const fixture = leaderEndedAfterReport(OFFSET_MS);
     const push = fixture.events.push.bind(fixture.events);
     fixture.events.push = (...items: string[]): number => {
-      if (items.includes('seal')) fixture.daemons.set('d2', { kind: 'silent' });
+      if (items.includes('seal')) fixture.orderOutcomes.set('d2', { kind: 'silent' });
       return push(...items);
     };
     assert.equal(await isPromotedWithin(fixture, ATTEMPTS_MS), false, fixture.events.join(', '));
@@ -306,7 +306,7 @@
     const fixture = new ModelledGroup(['old', 'one', 'flapping']);
     fixture.group.recordLeader({ memberId: 'old', term: FIRST_TERM }, null);
     assert.ok(fixture.commit(fixture.member('old')));
-    fixture.daemons.set('d2', DAEMON_GONE);
+    fixture.orderOutcomes.set('d2', DAEMON_GONE);
     fixture.member('old').state = 'ended';
     const running = fixture.supervisor.run();
     for (
@@ -314,7 +314,7 @@
       passed < RUN_MS && !fixture.events.includes('promotion_ends');
       passed += RESTART_INTERVAL_MS
     ) {
-      const ended = startNextLife(fixture, 'flapping', 'log');
+      const ended = restartMember(fixture, 'flapping', 'log');
       setTimeout(() => fixture.group.removeFormer(ended), FORMER_MEMBER_TTL_MS);
       fixture.supervisor.suspect();
       await advance(context, RESTART_INTERVAL_MS, clock);
--- a/src/leadership/promotion-final-check.test.ts
+++ b/src/leadership/promotion-final-check.test.ts
@@ -54,14 +54,14 @@
    */
   test('the reply of a daemon to the revoke order counts although it does not reply to the seal order', async () => {
     const model = new ModelledGroup(['old', 'unlisted', 'other']);
-    model.member('other').isDeaf = true;
+    model.member('other').isReplicationStopped = true;
     assert.ok(model.commit(model.member('old')));
     model.group.members.delete('unlisted');
     model.member('unlisted').state = 'ended';
     model.member('old').state = 'ended';
-    model.daemons.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 2 }));
-    onFirst(model, 'seal', () => model.daemons.set('d2', { kind: 'silent' }));
-    await Promise.race([model.until('promotion_given_up'), model.reached('promote other')]);
+    model.orderOutcomes.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 2 }));
+    onFirst(model, 'seal', () => model.orderOutcomes.set('d2', { kind: 'silent' }));
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promote other')]);
     model.supervisor.stop();
     assert.ok(!model.events.includes('promote other'), model.events.join(', '));
   });
@@ -69,11 +69,11 @@
   /** A daemon that does not answer may hold evidence that the late replica gave it just before its pause. */
   test('a silent daemon is waited for again after the pause of a replica that was late', async () => {
     const model = new ModelledGroup(['old', 'named', 'other']);
-    model.member('old').isCutFromHolder = true;
-    model.daemons.set('d2', { kind: 'silent' });
-    void model.reached('pause other').then(() => setTimeout(() => model.add('new', 9), LATE_START_MS));
-    const running = Promise.race([model.until('promotion_given_up'), model.reached('promote named')]);
-    await model.reached('pause new');
+    model.member('old').isUnreachableFromHolder = true;
+    model.orderOutcomes.set('d2', { kind: 'silent' });
+    void model.waitForEvent('pause other').then(() => setTimeout(() => model.add('new', 9), LATE_START_MS));
+    const running = Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promote named')]);
+    await model.waitForEvent('pause new');
     const pausedAtMs = performance.now();
     await running;
     model.supervisor.stop();
@@ -92,9 +92,9 @@
   test('a replica that is silent at the last look counts as missing', async () => {
     const model = new ModelledGroup(['old', 'named', 'far']);
     model.member('old').state = 'ended';
-    model.daemons.set('d2', { kind: 'gone' });
+    model.orderOutcomes.set('d2', { kind: 'gone' });
     onFirst(model, 'seal', () => (model.member('far').state = 'dark'));
-    await Promise.race([model.until('promotion_given_up'), model.reached('promote named')]);
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promote named')]);
     model.supervisor.stop();
     assert.ok(!model.events.includes('promote named'), model.events.join(', '));
   });
@@ -103,9 +103,9 @@
     const model = new ModelledGroup(['old', 'named', 'far']);
     model.member('old').state = 'ended';
     model.member('far').state = 'dark';
-    model.daemons.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 1 }));
-    onFirst(model, 'seal', () => model.daemons.set('d2', { kind: 'silent' }));
-    await Promise.race([model.until('promotion_given_up'), model.reached('promote named')]);
+    model.orderOutcomes.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 1 }));
+    onFirst(model, 'seal', () => model.orderOutcomes.set('d2', { kind: 'silent' }));
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promote named')]);
     model.supervisor.stop();
     assert.ok(!model.events.includes('promote named'), model.events.join(', '));
   });
@@ -114,7 +114,7 @@
     const model = new ModelledGroup(['old', 'named', 'other']);
     model.member('old').state = 'ended';
     onFirst(model, 'seal', () => void model.add('new', 9));
-    await model.until('promote named');
+    await model.runUntil('promote named');
     const pausedAt = model.events.indexOf('pause new');
     assert.ok(pausedAt >= 0 && pausedAt < model.events.indexOf('promote named'), model.events.join(', '));
   });
@@ -122,13 +122,13 @@
   test('a replica that appears while the platform acts is paused, and follows once the named one leads', async () => {
     const model = new ModelledGroup(['old', 'named', 'other']);
     model.member('old').state = 'ended';
-    model.platform = (memberId) => {
+    model.handlePromotion = (memberId) => {
       model.add('new', 9);
-      setTimeout(() => model.lead(memberId), PROMOTION_MS);
+      setTimeout(() => model.makeLeader(memberId), PROMOTION_MS);
       return Promise.resolve(true);
     };
-    const running = model.until('resume new');
-    await model.reached('leads named');
+    const running = model.runUntil('resume new');
+    await model.waitForEvent('leads named');
     assert.ok(model.events.includes('pause new'), model.events.join(', '));
     await running;
   });
@@ -161,11 +161,11 @@
       const running = model.supervisor.run();
       await delay(TIMER_TOLERANCE_MS);
       assert.ok(model.commit(model.member('old')));
-      model.daemons.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 2 }));
-      model.daemons.set('d3', { kind: 'gone' });
+      model.orderOutcomes.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 2 }));
+      model.orderOutcomes.set('d3', { kind: 'gone' });
       restart(model, isListed);
       model.supervisor.suspect();
-      await Promise.race([model.reached('promotion_ends').catch(() => undefined), delay(RECOVERY_MS)]);
+      await Promise.race([model.waitForEvent('promotion_ends').catch(() => undefined), delay(RECOVERY_MS)]);
       model.supervisor.stop();
       await running;
       assert.ok(model.events.includes('promotion_ends'), model.events.join(', '));
@@ -189,9 +189,9 @@
       member.received = { term: FIRST_TERM + 1, index: 2 };
     };
     [one, other, far].forEach(isLater);
-    far.isCutFromHolder = true;
-    model.daemons.set('d2', acknowledgedUpTo({ term: FIRST_TERM + 1, index: 2 }));
-    await Promise.race([model.until('promotion_given_up'), model.reached('promote other')]);
+    far.isUnreachableFromHolder = true;
+    model.orderOutcomes.set('d2', acknowledgedUpTo({ term: FIRST_TERM + 1, index: 2 }));
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promote other')]);
     model.supervisor.stop();
     assert.ok(!model.events.includes('promote other'), model.events.join(', '));
     assert.ok(one.isPrimary);
@@ -224,8 +224,8 @@
     far.state = 'dark';
     old.state = 'ended';
     model.group.members.delete('old');
-    model.daemons.set('d2', { kind: 'gone' });
-    await Promise.race([model.until('promotion_given_up'), model.reached('promote other')]);
+    model.orderOutcomes.set('d2', { kind: 'gone' });
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promote other')]);
     model.supervisor.stop();
     assert.equal(other.isPrimary, false);
     assert.ok(!model.events.includes('promote other'), model.events.join(', '));
--- a/src/leadership/promotion-loss.test.ts
+++ b/src/leadership/promotion-loss.test.ts
@@ -23,8 +23,8 @@
 /** A commit that only the primary and a replica that has ended since have received; `other` lacks it. */
 function commitOnEndedReplica(): { readonly model: ModelledGroup; readonly commit: Position } {
   const model = new ModelledGroup(['old', 'leaving', 'other']);
-  model.retire('leaving');
-  model.member('other').isDeaf = true;
+  model.delist('leaving');
+  model.member('other').isReplicationStopped = true;
   assert.ok(model.commit(model.member('old')));
   model.member('leaving').state = 'ended';
   model.member('old').state = 'ended';
@@ -41,9 +41,9 @@
    */
   test('prevents the promotion although one of the daemons does not answer', async () => {
     const { model, commit } = commitOnEndedReplica();
-    model.daemons.set('d2', acknowledgedUpTo(commit));
-    model.daemons.set('d3', { kind: 'silent' });
-    await model.until('promotion_given_up');
+    model.orderOutcomes.set('d2', acknowledgedUpTo(commit));
+    model.orderOutcomes.set('d3', { kind: 'silent' });
+    await model.runUntil('promotion_given_up');
     assert.ok(!model.events.includes('promote other'), model.events.join(', '));
   });
 
@@ -55,17 +55,17 @@
    */
   test('prevents the promotion although no daemon that answers knows of it', async () => {
     const { model } = commitOnEndedReplica();
-    model.daemons.set('d2', { kind: 'silent' });
-    await model.until('promotion_given_up');
+    model.orderOutcomes.set('d2', { kind: 'silent' });
+    await model.runUntil('promotion_given_up');
     assert.ok(!model.events.includes('promote other'), model.events.join(', '));
   });
 
   test('is found with the new member at the address of the one that ended', async () => {
     const { model, commit } = commitOnEndedReplica();
-    model.daemons.set('d2', { kind: 'silent' });
+    model.orderOutcomes.set('d2', { kind: 'silent' });
     const { port } = model.member('leaving');
-    const running = model.until('leads come');
-    await model.reached('promotion_given_up');
+    const running = model.runUntil('leads come');
+    await model.waitForEvent('promotion_given_up');
     model.add('come', port).received = commit;
     await running;
     assert.ok(!model.events.includes('promote other'), model.events.join(', '));
@@ -73,9 +73,9 @@
 
   test('is waited for no longer than the directory lists the replica as former', async () => {
     const { model } = commitOnEndedReplica();
-    model.daemons.set('d2', { kind: 'silent' });
-    const running = model.until('leads other');
-    await model.reached('promotion_given_up');
+    model.orderOutcomes.set('d2', { kind: 'silent' });
+    const running = model.runUntil('leads other');
+    await model.waitForEvent('promotion_given_up');
     model.group.former.delete('leaving');
     await running;
   });
@@ -87,8 +87,8 @@
    */
   async function endedBeforeCrash(setUp: (model: ModelledGroup) => void): Promise<ModelledGroup> {
     const model = new ModelledGroup(['old', 'leaving', 'other']);
-    model.retire('leaving');
-    model.daemons.set('d2', { kind: 'silent' });
+    model.delist('leaving');
+    model.orderOutcomes.set('d2', { kind: 'silent' });
     model.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     setUp(model);
     model.member('leaving').state = 'ended';
@@ -96,7 +96,7 @@
     await delay(DETECTION_MS);
     model.member('old').state = 'ended';
     model.supervisor.suspect();
-    await Promise.race([model.reached('leads other'), model.reached('promotion_given_up')]);
+    await Promise.race([model.waitForEvent('leads other'), model.waitForEvent('promotion_given_up')]);
     model.supervisor.stop();
     await running;
     return model;
@@ -109,7 +109,7 @@
 
   test('blocks the promotion of a replica that has not reached that position', async () => {
     const model = await endedBeforeCrash((group) => {
-      group.member('other').isDeaf = true;
+      group.member('other').isReplicationStopped = true;
       assert.ok(group.commit(group.member('old')));
     });
     assert.ok(model.events.includes('promotion_given_up'), model.events.join(', '));
@@ -134,18 +134,18 @@
   test('promotes a member that holds every commit acknowledged in the meantime', async () => {
     const model = new ModelledGroup(['old', 'named', 'other']);
     const old = model.member('old');
-    model.member('other').isDeaf = true;
+    model.member('other').isReplicationStopped = true;
     assert.ok(model.commit(old));
-    model.platform = (memberId) => {
-      setTimeout(() => model.lead(memberId), SLOW_PLATFORM_MS);
+    model.handlePromotion = (memberId) => {
+      setTimeout(() => model.makeLeader(memberId), SLOW_PLATFORM_MS);
       return Promise.reject(new Error('no answer in time'));
     };
     old.state = 'dark';
-    const running = model.until('leads named');
-    await model.reached('promote named');
+    const running = model.runUntil('leads named');
+    await model.waitForEvent('promote named');
     old.state = 'running';
-    model.member('other').isDeaf = false;
-    model.member('named').isDeaf = true;
+    model.member('other').isReplicationStopped = false;
+    model.member('named').isReplicationStopped = true;
     let acknowledged = old.received;
     const traffic = setInterval(() => {
       if (model.events.includes('leads named')) clearInterval(traffic);
@@ -168,14 +168,14 @@
   test('is covered by a promotion that goes without a replica', async () => {
     const model = new ModelledGroup(['old', 'far', 'near']);
     const old = model.member('old');
-    model.daemons.set('d2', acknowledgedUpTo(old.received));
+    model.orderOutcomes.set('d2', acknowledgedUpTo(old.received));
     old.state = 'dark';
     model.member('far').state = 'dark';
-    model.member('near').isDeaf = true;
-    const ended = Promise.race([model.until('promotion_given_up'), model.reached('leads near')]);
-    await model.reached('revoke');
+    model.member('near').isReplicationStopped = true;
+    const ended = Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('leads near')]);
+    await model.waitForEvent('revoke');
     await delay(WRITE_MS);
-    model.daemons.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 2 }));
+    model.orderOutcomes.set('d2', acknowledgedUpTo({ term: FIRST_TERM, index: 2 }));
     await ended;
     model.supervisor.stop();
     assert.ok(!model.events.includes('promote near'), model.events.join(', '));
@@ -185,14 +185,14 @@
   test('does not keep a replica from the lead that has received it, too', async () => {
     const model = new ModelledGroup(['old', 'far', 'near']);
     const old = model.member('old');
-    model.daemons.set('d2', acknowledgedUpTo(old.received));
+    model.orderOutcomes.set('d2', acknowledgedUpTo(old.received));
     assert.ok(model.commit(old));
     old.state = 'dark';
     model.member('far').state = 'dark';
-    const ended = model.until('leads near');
-    await model.reached('revoke');
+    const ended = model.runUntil('leads near');
+    await model.waitForEvent('revoke');
     await delay(WRITE_MS);
-    model.daemons.set('d2', acknowledgedUpTo(old.received));
+    model.orderOutcomes.set('d2', acknowledgedUpTo(old.received));
     await ended;
     assert.ok(!model.events.includes('promotion_given_up'), model.events.join(', '));
   });
@@ -210,12 +210,12 @@
     const model = new ModelledGroup(['old', 'named', 'other']);
     model.member('named').received = { term: FIRST_TERM, index: 2 };
     model.member('old').state = 'dark';
-    model.platform = () => {
+    model.handlePromotion = () => {
       model.isDutyHeld = false;
       model.member('named').state = 'ended';
       return Promise.reject(new Error('no answer in time'));
     };
-    await model.until('promotion_given_up');
+    await model.runUntil('promotion_given_up');
     assert.notEqual(model.member('other').pausedForTerm, 0);
     assert.ok(!model.events.includes('allow'), model.events.join(', '));
   });
@@ -224,7 +224,7 @@
     const model = new ModelledGroup(['old', 'one', 'other']);
     model.group.evidence.recordWitness(FIRST_TERM, 0, performance.now());
     model.member('other').pausedForTerm = FIRST_TERM + 1;
-    await model.until('promotion_ends');
+    await model.runUntil('promotion_ends');
     assert.equal(model.member('other').pausedForTerm, 0);
     assert.ok(!model.member('old').isPrimary);
   });
--- a/src/leadership/promotion-member-restarts.test.ts
+++ b/src/leadership/promotion-member-restarts.test.ts
@@ -53,14 +53,14 @@
    */
   test('is missing when it was the only replica that had a commit and one daemon is silent', async () => {
     const model = new ModelledGroup(['old', 'holder', 'other']);
-    model.member('other').isDeaf = true;
+    model.member('other').isReplicationStopped = true;
     assert.ok(model.commit(model.member('old')));
     const commit = model.member('holder').received;
     restart(model, 'holder');
-    model.member('holder').isDeaf = true;
+    model.member('holder').isReplicationStopped = true;
     model.member('old').state = 'ended';
-    model.daemons.set('d2', { kind: 'silent' });
-    await Promise.race([model.until('promotion_given_up'), model.reached('leads other')]);
+    model.orderOutcomes.set('d2', { kind: 'silent' });
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('leads other')]);
     model.supervisor.stop();
     assert.ok(!model.events.includes('leads other'), describeRun(model, commit));
   });
@@ -73,14 +73,14 @@
     const model = new ModelledGroup(['old', 'named', 'other']);
     assert.ok(model.commit(model.member('old')));
     const commit = { term: FIRST_TERM, index: 2 };
-    model.daemons.set('d2', acknowledgedUpTo(commit));
+    model.orderOutcomes.set('d2', acknowledgedUpTo(commit));
     model.member('old').state = 'ended';
-    model.platform = (memberId) => {
+    model.handlePromotion = (memberId) => {
       setTimeout(() => restart(model, memberId), RESTART_MS);
-      setTimeout(() => model.lead(memberId), PROMOTED_MS);
+      setTimeout(() => model.makeLeader(memberId), PROMOTED_MS);
       return Promise.resolve(true);
     };
-    await Promise.race([model.until('promotion_given_up'), model.reached('promotion_ends')]);
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promotion_ends')]);
     model.supervisor.stop();
     const led = firstLeader(model) ?? 'named';
     assert.ok(hasReached(model.member(led).received, commit), describeRun(model, commit));
@@ -91,14 +91,14 @@
     const model = new ModelledGroup(['old', 'named', 'other']);
     assert.ok(model.commit(model.member('old')));
     const commit = { term: FIRST_TERM, index: 2 };
-    model.daemons.set('d2', acknowledgedUpTo(commit));
+    model.orderOutcomes.set('d2', acknowledgedUpTo(commit));
     model.member('old').state = 'ended';
-    model.platform = (memberId) => {
+    model.handlePromotion = (memberId) => {
       if (memberId === 'named') setTimeout(() => restart(model, memberId), RESTART_MS);
-      setTimeout(() => model.lead(memberId), PROMOTED_MS);
+      setTimeout(() => model.makeLeader(memberId), PROMOTED_MS);
       return Promise.resolve(true);
     };
-    await Promise.race([model.until('promotion_given_up'), model.reached('promotion_ends')]);
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promotion_ends')]);
     model.supervisor.stop();
     assert.ok(model.member('other').isPrimary, describeRun(model, commit));
     assert.ok(hasReached(model.member('other').received, commit), describeRun(model, commit));
@@ -110,16 +110,16 @@
     const named = model.group.members.get('old');
     assert.ok(named);
     named.leavingSinceMs = performance.now();
-    model.daemons.set('d2', acknowledgedUpTo(old.received));
+    model.orderOutcomes.set('d2', acknowledgedUpTo(old.received));
     let acknowledged: Position = old.received;
     const traffic = setInterval(() => {
       if (old.isPrimary && model.commit(old)) acknowledged = old.received;
     }, COMMIT_MS);
-    void model.reached('pause other').then(() => {
+    void model.waitForEvent('pause other').then(() => {
       model.member('other').state = 'dark';
       setTimeout(() => restart(model, 'other'), RECHECK_MS);
     });
-    await Promise.race([model.until('promotion_given_up'), model.reached('promotion_ends')]);
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('promotion_ends')]);
     clearInterval(traffic);
     model.supervisor.stop();
     const led = firstLeader(model);
@@ -139,21 +139,21 @@
   } {
     const old = model.member('old');
     let acknowledged: Position = old.received;
-    model.daemons.set('d2', acknowledgedUpTo(acknowledged));
+    model.orderOutcomes.set('d2', acknowledgedUpTo(acknowledged));
     const timer = setInterval(() => {
       if (!old.isPrimary || old.term < model.member('named').term || model.events.includes('seal')) return;
       if (!model.commit(old)) return;
       acknowledged = old.received;
-      model.daemons.set('d2', acknowledgedUpTo(acknowledged));
+      model.orderOutcomes.set('d2', acknowledgedUpTo(acknowledged));
     }, COMMIT_MS);
     return { acknowledged: () => acknowledged, stop: () => clearInterval(timer) };
   }
 
   async function promoteCutPrimary(model: ModelledGroup, during: () => void): Promise<void> {
     const traffic = commitsOfOpenTransactions(model);
-    model.member('old').isCutFromHolder = true;
-    void model.reached('promote named').then(during);
-    await Promise.race([model.until('promotion_given_up'), model.reached('leads named')]);
+    model.member('old').isUnreachableFromHolder = true;
+    void model.waitForEvent('promote named').then(during);
+    await Promise.race([model.runUntil('promotion_given_up'), model.waitForEvent('leads named')]);
     const last = model.member('named').received;
     traffic.stop();
     model.supervisor.stop();
@@ -197,13 +197,13 @@
   test('is waited for although the successor has ended, since it may restart', async () => {
     const model = new ModelledGroup(['old', 'named', 'other']);
     model.member('old').state = 'ended';
-    model.platform = (memberId) => {
-      setTimeout(() => model.lead(memberId), memberId === 'named' ? SLOW_CALL_MS : END_MS);
+    model.handlePromotion = (memberId) => {
+      setTimeout(() => model.makeLeader(memberId), memberId === 'named' ? SLOW_CALL_MS : END_MS);
       if (memberId === 'named') setTimeout(() => (model.member('named').state = 'ended'), END_MS);
       if (memberId === 'named') setTimeout(() => (model.member('named').state = 'running'), START_MS);
       return Promise.resolve(true);
     };
-    await model.until('leader');
+    await model.runUntil('leader');
     assert.ok(model.events.indexOf('leads named') < model.events.indexOf('leader'), model.events.join(', '));
     assert.ok(model.member('named').isPrimary, model.events.join(', '));
   });
@@ -219,20 +219,20 @@
     let isReplaced = false;
     const calledAtMs: number[] = [];
     let otherCalledAtMs = Number.POSITIVE_INFINITY;
-    model.platform = (memberId) => {
+    model.handlePromotion = (memberId) => {
       if (memberId === 'named') {
         calledAtMs.push(performance.now());
         setTimeout(() => {
-          if (!isReplaced) model.lead('named');
+          if (!isReplaced) model.makeLeader('named');
         }, SLOWER_CALL_MS);
       } else {
         otherCalledAtMs = performance.now();
-        setTimeout(() => model.lead(memberId), END_MS);
+        setTimeout(() => model.makeLeader(memberId), END_MS);
       }
       return Promise.resolve(true);
     };
-    const running = model.until('leads other');
-    await model.reached('leader');
+    const running = model.runUntil('leads other');
+    await model.waitForEvent('leader');
     isReplaced = true;
     model.member('named').state = 'ended';
     model.supervisor.suspect();
--- a/src/leadership/promotion-time.test.ts
+++ b/src/leadership/promotion-time.test.ts
@@ -21,14 +21,14 @@
    */
   test('the group has a leader soon after the platform is back', async () => {
     const model = new ModelledGroup(['old', 'one', 'other']);
-    const accept = model.platform;
+    const accept = model.handlePromotion;
     const beganAtMs = performance.now();
-    model.platform = (memberId) =>
+    model.handlePromotion = (memberId) =>
       performance.now() - beganAtMs < OUTAGE_MS
         ? Promise.reject(new Error('connect ECONNREFUSED'))
         : accept(memberId);
     model.member('old').state = 'ended';
-    await model.until('promotion_ends');
+    await model.runUntil('promotion_ends');
     const ms = performance.now() - beganAtMs;
     assert.ok(ms < OUTAGE_MS + PROMOTION_LIMIT_MS, `${Math.round(ms)} ms; ${model.events.join(', ')}`);
   });
@@ -46,13 +46,13 @@
     const model = new ModelledGroup(['old', 'named', 'other']);
     model.member('named').received = { term: FIRST_TERM, index: 2 };
     model.member('old').state = 'dark';
-    model.platform = () => {
+    model.handlePromotion = () => {
       // The duty is lost, and taken again by the time the promotion is given up.
       model.supervisor.stop();
       model.member('named').state = 'ended';
       return Promise.reject(new Error('no answer in time'));
     };
-    await model.until('promotion_given_up');
+    await model.runUntil('promotion_given_up');
     assert.notEqual(model.member('other').pausedForTerm, 0, model.events.join(', '));
     assert.ok(!model.events.includes('allow'), model.events.join(', '));
   });
@@ -70,8 +70,8 @@
     const leader = model.group.members.get('old');
     assert.ok(leader);
     leader.leavingSinceMs = performance.now();
-    void model.reached('revoke').then(() => (model.heldForMs = 300));
-    await model.until('promotion_given_up');
+    void model.waitForEvent('revoke').then(() => (model.dutyValidForMs = 300));
+    await model.runUntil('promotion_given_up');
     assert.ok(model.member('old').isPrimary, model.events.join(', '));
   });
 
@@ -87,18 +87,18 @@
     assert.ok(leader);
     leader.leavingSinceMs = performance.now();
     let calls = 0;
-    model.platform = (memberId) => {
+    model.handlePromotion = (memberId) => {
       calls += 1;
       if (calls > 1) {
-        setTimeout(() => model.lead(memberId), 20);
+        setTimeout(() => model.makeLeader(memberId), 20);
         return Promise.resolve(true);
       }
-      model.daemons.set('d2', { kind: 'gone' });
+      model.orderOutcomes.set('d2', { kind: 'gone' });
       model.member('old').state = 'ended';
       model.member('other').state = 'dark';
       return Promise.resolve(false);
     };
-    const running = model.until('leads one');
+    const running = model.runUntil('leads one');
     await running;
     assert.equal(calls, 2, model.events.join(', '));
   });
--- a/src/quota/quota.test.ts
+++ b/src/quota/quota.test.ts
@@ -8,7 +8,7 @@
 import { describe, test } from 'node:test';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { daemonRecord, fleetOf } from '../../test/support/daemon-records.js';
+import { daemonRecord, daemonRecords } from '../../test/support/daemon-records.js';
 import { ModelledFleet } from '../../test/support/modelled-quota-fleet.js';
 import type { DaemonRecord } from '../cluster/daemon-record.js';
 import { preferredDaemons } from '../cluster/rank-by-capacity.js';
@@ -81,13 +81,13 @@
   const stepMs = 1000 / perS;
   for (let ms = 0; ms < forMs; ms += stepMs) {
     const daemon = daemons[Math.floor(random() * daemons.length)];
-    if (daemon !== undefined) fleet.operation(daemon);
+    if (daemon !== undefined) fleet.submitOperation(daemon);
     await fleet.advance(stepMs);
   }
 }
 
 describe('the quota of a fleet', () => {
-  const records = fleetOf(83);
+  const records = daemonRecords(83);
 
   test('operations within the quota are not refused when callers use all daemons', async () => {
     const random = generatorOf(1);
@@ -95,8 +95,8 @@
     await fleet.advance(WINDOW_MS);
     await load(fleet, records, 30, 10_000, random);
     await fleet.advance(1000);
-    assert.equal(fleet.refused, 0);
-    assert.equal(fleet.runs.length, 300);
+    assert.equal(fleet.refusedCount, 0);
+    assert.equal(fleet.grantedAtMs.length, 300);
   });
 
   test('a tenant that sends at seven times its usual rate gets its quota, and no more', async () => {
@@ -106,8 +106,14 @@
     await load(fleet, records, 200, 10_000, random);
     await fleet.advance(1000);
     const quota = TENANT.quota ?? { ratePerS: 0, burst: 0 };
-    assert.ok(mostInWindow(fleet.runs) <= allowed(quota), `${mostInWindow(fleet.runs)} in a window`);
-    assert.ok(fleet.runs.length >= 0.9 * (quota.ratePerS * 10 + quota.burst), `${fleet.runs.length} run`);
+    assert.ok(
+      mostInWindow(fleet.grantedAtMs) <= allowed(quota),
+      `${mostInWindow(fleet.grantedAtMs)} in a window`,
+    );
+    assert.ok(
+      fleet.grantedAtMs.length >= 0.9 * (quota.ratePerS * 10 + quota.burst),
+      `${fleet.grantedAtMs.length} run`,
+    );
   });
 
   test('stays within the limit after repeated power losses of all daemons, with all callers back at once', async () => {
@@ -120,14 +126,14 @@
       for (const record of living) fleet.kill(record);
       await fleet.advance(500);
       living = living.map((record) => ({ ...record, life: `${record.life}'` }));
-      for (const record of living) fleet.view(record, living);
+      for (const record of living) fleet.setLiveDaemons(record, living);
       for (const record of living) fleet.start(record);
     }
     await load(fleet, living, 250, 4000, random);
-    const most = mostInWindow(fleet.runs);
+    const most = mostInWindow(fleet.grantedAtMs);
     const quota = TENANT.quota ?? { ratePerS: 0, burst: 0 };
     assert.ok(most <= allowed(quota), `${most} in a window, ${allowed(quota)} allowed`);
-    assert.ok(fleet.runs.length > 300, `only ${fleet.runs.length} run`);
+    assert.ok(fleet.grantedAtMs.length > 300, `only ${fleet.grantedAtMs.length} run`);
   });
 
   /**
@@ -139,7 +145,7 @@
    */
   test('stays within the limit while only some daemons regard a retiring daemon as the home', async () => {
     const random = generatorOf(410);
-    const records = fleetOf(3);
+    const records = daemonRecords(3);
     const fleet = new ModelledFleet(records, TENANT, () => 1, random);
     const [home, next] = preferredDaemons(TENANT.name, records, 2);
     assert.ok(home !== undefined && next !== undefined);
@@ -149,14 +155,17 @@
     const restarted = { ...next, life: `${next.life}b` };
     fleet.start(restarted);
     const others = records.map((record) => (record === next ? restarted : record));
-    for (const record of others) fleet.view(record, others);
-    fleet.view(
+    for (const record of others) fleet.setLiveDaemons(record, others);
+    fleet.setLiveDaemons(
       restarted,
       others.filter((record) => record !== home),
     );
     await load(fleet, others, 200, 2700, random);
-    assert.ok(mostInWindow(fleet.runs) <= allowed(QUOTA), `${mostInWindow(fleet.runs)} in a window`);
-    assert.ok(mostInWindow(fleet.runs) > 100, 'operations are not refused for lack of a home');
+    assert.ok(
+      mostInWindow(fleet.grantedAtMs) <= allowed(QUOTA),
+      `${mostInWindow(fleet.grantedAtMs)} in a window`,
+    );
+    assert.ok(mostInWindow(fleet.grantedAtMs) > 100, 'operations are not refused for lack of a home');
   });
 
   /**
@@ -166,20 +175,23 @@
    */
   test('is granted in full by the backup before the other daemons know that the home retires', async () => {
     const random = generatorOf(7);
-    const records = fleetOf(30);
+    const records = daemonRecords(30);
     const fleet = new ModelledFleet(records, TENANT, () => 1, random);
     const [home] = preferredDaemons(TENANT.name, records, 1);
     assert.ok(home !== undefined);
     await load(fleet, records, 30, 4000, random);
-    const refusedBefore = fleet.refused;
+    const refusedBefore = fleet.refusedCount;
     fleet.retire(home);
     await load(fleet, records, 30, 700, random);
-    assert.ok(fleet.refused - refusedBefore <= 3, `${fleet.refused - refusedBefore} refused`);
-    assert.ok(mostInWindow(fleet.runs) <= allowed(QUOTA), `${mostInWindow(fleet.runs)} in a window`);
+    assert.ok(fleet.refusedCount - refusedBefore <= 3, `${fleet.refusedCount - refusedBefore} refused`);
+    assert.ok(
+      mostInWindow(fleet.grantedAtMs) <= allowed(QUOTA),
+      `${mostInWindow(fleet.grantedAtMs)} in a window`,
+    );
   });
 
   test('stays within the limit at 1,000 daemons with late answers, restarts, cuts and homes that move', async () => {
-    const many = fleetOf(1000);
+    const many = daemonRecords(1000);
     const quota = TENANT.quota ?? { ratePerS: 0, burst: 0 };
     let total = 0;
     for (let seed = 10; seed < 16; seed += 1) {
@@ -200,19 +212,19 @@
           const restarted = { ...victim, life: `${victim.life}'` };
           living.add(restarted);
           fleet.start(restarted);
-          for (const record of living) fleet.view(record, [...living]);
+          for (const record of living) fleet.setLiveDaemons(record, [...living]);
         } else if (dice < 0.6) {
-          fleet.cut(victim);
+          fleet.disconnect(victim);
         } else if (dice < 0.8) {
           fleet.kill(victim);
           living.delete(victim);
-          for (const record of living) fleet.view(record, [...living]);
+          for (const record of living) fleet.setLiveDaemons(record, [...living]);
         }
       }
       await fleet.advance(1000);
-      const most = mostInWindow(fleet.runs);
+      const most = mostInWindow(fleet.grantedAtMs);
       assert.ok(most <= allowed(quota), `seed ${seed}: ${most} in a window, ${allowed(quota)} allowed`);
-      total += fleet.runs.length;
+      total += fleet.grantedAtMs.length;
     }
     // A home that is cut off for good but still counted as live leaves only the backup share, a twentieth, so
     // the minimum is far below the mean.
--- a/src/relay/commit-proof.test.ts
+++ b/src/relay/commit-proof.test.ts
@@ -9,7 +9,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { QUIET_OBSERVER } from '../../test/support/quiet-observer.js';
+import { NOOP_OBSERVER } from '../../test/support/noop-observer.js';
 import { ALWAYS_PROVEN, NO_QUOTAS } from '../../test/support/no-tenancy.js';
 import { EVIDENCE_VALIDITY_MS } from '../leadership/leadership-evidence.js';
 import { Catalog } from '../topology/catalog.js';
@@ -42,7 +42,7 @@
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: { ...QUIET_OBSERVER, notable: ({ decision }) => void decisions.push(decision) },
+    observer: { ...NOOP_OBSERVER, notable: ({ decision }) => void decisions.push(decision) },
     group: () => group,
     now: () => performance.now(),
     shutdownSchedule: () => null,
--- a/src/relay/read-runner.test.ts
+++ b/src/relay/read-runner.test.ts
@@ -5,9 +5,9 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { QUIET_OBSERVER } from '../../test/support/quiet-observer.js';
+import { NOOP_OBSERVER } from '../../test/support/noop-observer.js';
 import { ALWAYS_PROVEN, NO_QUOTAS } from '../../test/support/no-tenancy.js';
-import { testGroup } from '../../test/support/relay-members.js';
+import { createTestGroup } from '../../test/support/relay-members.js';
 import { Catalog, type Route } from '../topology/catalog.js';
 import type { MemberGroup } from '../topology/member-group.js';
 import { LinkLostError, type MemberLink, type MemberReply, type MemberRequest } from './member-link.js';
@@ -79,14 +79,14 @@
 function scene(route: Route = ROUTE): Scene {
   const clock = { now: performance.now() };
   const fakes = { leader: new FakeMember(), replica: new FakeMember() };
-  const group = testGroup(fakes, () => clock.now);
+  const group = createTestGroup(fakes, () => clock.now);
   group.evidence.recordWitness(1, 0, clock.now);
   const context: RelayContext = {
     catalog: new Catalog(),
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: QUIET_OBSERVER,
+    observer: NOOP_OBSERVER,
     group: () => group,
     now: () => clock.now,
     shutdownSchedule: () => null,
--- a/src/relay/restarted-leader.test.ts
+++ b/src/relay/restarted-leader.test.ts
@@ -14,8 +14,8 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { ALWAYS_PROVEN, NO_QUOTAS } from '../../test/support/no-tenancy.js';
-import { QUIET_OBSERVER } from '../../test/support/quiet-observer.js';
-import { testGroup } from '../../test/support/relay-members.js';
+import { NOOP_OBSERVER } from '../../test/support/noop-observer.js';
+import { createTestGroup } from '../../test/support/relay-members.js';
 import { ZERO_POSITION, type Position } from '../position/position.js';
 import { Catalog, type Route } from '../topology/catalog.js';
 import type { MemberGroup } from '../topology/member-group.js';
@@ -97,7 +97,7 @@
 /** A group with valid evidence for its leader, which has reported the position `held`, or none. */
 function scene(process: FakeProcess, held: Position | null): Scene {
   const now = (): number => performance.now();
-  const group = testGroup({ leader: process }, now);
+  const group = createTestGroup({ leader: process }, now);
   group.recordLeader({ memberId: 'leader', term: TERM }, held);
   group.evidence.recordWitness(TERM, 0, now());
   const context: RelayContext = {
@@ -105,7 +105,7 @@
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: QUIET_OBSERVER,
+    observer: NOOP_OBSERVER,
     group: () => group,
     now,
     shutdownSchedule: () => null,
--- a/src/relay/transaction.test.ts
+++ b/src/relay/transaction.test.ts
@@ -8,7 +8,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { delay } from '../common/signal.js';
-import { QUIET_OBSERVER } from '../../test/support/quiet-observer.js';
+import { NOOP_OBSERVER } from '../../test/support/noop-observer.js';
 import { ALWAYS_PROVEN, NO_QUOTAS } from '../../test/support/no-tenancy.js';
 import { SlowLink } from '../../test/support/slow-link.js';
 import { Catalog, type Route } from '../topology/catalog.js';
@@ -85,7 +85,7 @@
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: QUIET_OBSERVER,
+    observer: NOOP_OBSERVER,
     group: () => group,
     now: () => 0,
     shutdownSchedule: () => null,
@@ -132,7 +132,7 @@
   await drainEventLoop();
   while (link.answer()) await drainEventLoop();
   await work;
-  return link.ran;
+  return link.executed;
 }
 
 test('when a client disconnects at any point, no statement runs outside its transaction', async () => {
@@ -183,7 +183,7 @@
   assert.equal(refusal.code, 'aborted');
   assert.equal(refusal.verdict, 'not_run');
   assert.ok(refusal.retryAfterMs !== null, 'has a retry delay');
-  assert.deepEqual(link.ran, ['statement inside']);
+  assert.deepEqual(link.executed, ['statement inside']);
 });
 
 test('a commit that the member refused as not run, and that cannot be sent again, is refused as not run', async () => {
@@ -215,10 +215,10 @@
   await drainEventLoop();
   first.answer();
   first.close();
-  while (second.ran.length === 0) {
+  while (second.executed.length === 0) {
     await delay(1);
     second.answer();
   }
   assert.equal((await work).result.isComplete, true);
-  assert.deepEqual([...first.ran, ...second.ran], ['statement inside']);
+  assert.deepEqual([...first.executed, ...second.executed], ['statement inside']);
 });
--- a/src/relay/verdicts.test.ts
+++ b/src/relay/verdicts.test.ts
@@ -7,9 +7,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { QUIET_OBSERVER } from '../../test/support/quiet-observer.js';
+import { NOOP_OBSERVER } from '../../test/support/noop-observer.js';
 import { ALWAYS_PROVEN, NO_QUOTAS } from '../../test/support/no-tenancy.js';
-import { testGroup } from '../../test/support/relay-members.js';
+import { createTestGroup } from '../../test/support/relay-members.js';
 import { Catalog, type Route } from '../topology/catalog.js';
 import type { MemberGroup } from '../topology/member-group.js';
 import {
@@ -134,7 +134,7 @@
 ): { script: Script; context: RelayContext; group: MemberGroup } {
   const script = new Script(actions);
   const now = (): number => performance.now();
-  const group = testGroup({ leader: script, first: script, second: script }, now);
+  const group = createTestGroup({ leader: script, first: script, second: script }, now);
   if (hasEvidence) group.evidence.recordWitness(1, 0, now());
   group.recordLeaderPosition(now() - 100, { term: 1, index: 5 });
   const context: RelayContext = {
@@ -142,7 +142,7 @@
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: QUIET_OBSERVER,
+    observer: NOOP_OBSERVER,
     group: () => group,
     now,
     shutdownSchedule: () => null,
--- a/src/relay/write-runner.test.ts
+++ b/src/relay/write-runner.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FakeLink } from '../../test/support/fake-link.js';
-import { QUIET_OBSERVER } from '../../test/support/quiet-observer.js';
+import { NOOP_OBSERVER } from '../../test/support/noop-observer.js';
 import { ALWAYS_PROVEN, NO_QUOTAS } from '../../test/support/no-tenancy.js';
 import { Catalog, type Route } from '../topology/catalog.js';
 import { MemberGroup, type Member } from '../topology/member-group.js';
@@ -46,7 +46,7 @@
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: QUIET_OBSERVER,
+    observer: NOOP_OBSERVER,
     group: () => group,
     now: () => (now += STEP_MS),
     shutdownSchedule: () => null,
@@ -104,7 +104,7 @@
     configurationLease: ALWAYS_PROVEN,
     quotas: NO_QUOTAS,
     zone: 'a',
-    observer: QUIET_OBSERVER,
+    observer: NOOP_OBSERVER,
     group: () => group,
     now: () => performance.now(),
     shutdownSchedule: () => null,
--- a/src/tenancy/lease-renewal.test.ts
+++ b/src/tenancy/lease-renewal.test.ts
@@ -10,7 +10,7 @@
 import type { StoredItem } from '../coordination/coordination-store.js';
 import { ConfigurationLease } from './configuration-lease.js';
 import { LeaseRenewal, type LeaseRenewalOptions, type ConfigurationLeaseReply } from './lease-renewal.js';
-import { at as revisionAt } from '../../test/support/revisions.js';
+import { firstEraRevision as revisionAt } from '../../test/support/revisions.js';
 
 const KEY = 'configuration';
 const BOUND_MS = 5000;
--- a/src/tenancy/tenancy.test.ts
+++ b/src/tenancy/tenancy.test.ts
@@ -10,7 +10,7 @@
 import { ConfigurationLease } from './configuration-lease.js';
 import { digestKey } from './key-digest.js';
 import { NO_TENANT, TenantRegistry, type Tenant } from './tenant-registry.js';
-import { at as revisionAt } from '../../test/support/revisions.js';
+import { firstEraRevision as revisionAt } from '../../test/support/revisions.js';
 
 const AMBER: Tenant = { name: 'amber', priority: 0, quota: null };
 const BIRCH: Tenant = { name: 'birch', priority: 0, quota: null };
--- a/src/topology/member-directory.test.ts
+++ b/src/topology/member-directory.test.ts
@@ -61,7 +61,7 @@
     assert.equal(member.failureShare(scene.now), 0);
     assert.equal(member.answeredAtMs, Number.NEGATIVE_INFINITY);
     assert.equal(member.isAvoided(scene.now), false);
-    assert.deepEqual(scene.forgotten, ['m'], 'control connections are closed');
+    assert.deepEqual(scene.closedControlConnections, ['m'], 'control connections are closed');
   });
 
   const CHANGES: readonly [string, Partial<MemberEntry>][] = [
@@ -107,7 +107,7 @@
     const scene = new ListedMembers();
     scene.directory.listed({ ...FIRST, isDraining: true });
     const old = scene.member();
-    scene.pass(LEAVE_MS);
+    scene.advance(LEAVE_MS);
     scene.directory.listed({ ...FIRST, isDraining: true });
     assert.equal(scene.group().members.size, 0, 'the retired incarnation is not added again');
     scene.directory.listed(SECOND);
@@ -120,15 +120,15 @@
     scene.directory.listed(FIRST);
     const old = scene.member();
     scene.directory.unlisted('m');
-    scene.pass(LEAVE_MS);
-    scene.pass(LEAVE_MS);
+    scene.advance(LEAVE_MS);
+    scene.advance(LEAVE_MS);
     assert.equal(scene.group().former.size, 1);
     scene.directory.listed(SECOND);
     assertEnded(scene, old);
     assert.equal(scene.group().former.size, 1);
-    scene.pass(FORMER_MS - 1);
+    scene.advance(FORMER_MS - 1);
     assertEnded(scene, old);
-    scene.pass(1);
+    scene.advance(1);
     assert.equal(scene.group().former.size, 0);
   });
 
@@ -147,7 +147,7 @@
     scene.directory.listed(SECOND);
     assert.equal(scene.group().evidence.leader, null);
     assert.equal(scene.group().leader(scene.now), null);
-    assert.deepEqual(scene.doubted, ['g']);
+    assert.deepEqual(scene.doubtedGroups, ['g']);
   });
 
   test('of another member does not affect the leader', () => {
@@ -156,15 +156,15 @@
     scene.group().evidence.observeLeader({ memberId: 'other', term: 3 });
     scene.directory.listed(SECOND);
     assert.deepEqual(scene.group().evidence.leader, { memberId: 'other', term: 3 });
-    assert.deepEqual(scene.doubted, []);
+    assert.deepEqual(scene.doubtedGroups, []);
   });
 
   test('closes all connections of the earlier one at once, including those in use', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const old = scene.member();
-    const used = await scene.use(old);
-    const idle = await scene.use(old);
+    const used = await scene.acquireConnection(old);
+    const idle = await scene.acquireConnection(old);
     old.pool.release(idle);
     assert.equal(used.isOpen, true);
     scene.directory.listed(SECOND);
@@ -172,8 +172,8 @@
       scene.opened.map(({ link }) => link.isOpen),
       [false, false],
     );
-    await assert.rejects(scene.use(old), 'no connection is opened for the earlier incarnation');
-    await scene.use(scene.member());
+    await assert.rejects(scene.acquireConnection(old), 'no connection is opened for the earlier incarnation');
+    await scene.acquireConnection(scene.member());
     assert.equal(scene.opened.length, 3);
   });
 
@@ -184,7 +184,7 @@
     for (const entry of [FIRST, SECOND]) {
       scene.directory.listed(entry);
       const member = scene.member();
-      const link = await scene.use(member);
+      const link = await scene.acquireConnection(member);
       await link.setSessionValues(new Map([['lang', 'ur']]));
       await link.prepare(prepared);
       member.pool.release(link);
@@ -204,10 +204,12 @@
     scene.directory.listed(SECOND);
     scene.directory.listed({ ...SECOND, saysPrimary: true });
     scene.directory.listed({ ...SECOND, saysPrimary: true, isDraining: true });
-    scene.pass(LEAVE_MS);
-    assert.deepEqual(scene.logged('member_reborn'), [{ group: 'g', member: 'm', born: 2000, before: 1000 }]);
+    scene.advance(LEAVE_MS);
+    assert.deepEqual(scene.loggedDetails('member_reborn'), [
+      { group: 'g', member: 'm', born: 2000, before: 1000 },
+    ]);
     const startTimes = ['member_in', 'member_out', 'member_role', 'member_leaves'].map((event) =>
-      scene.logged(event).map(({ born }) => born),
+      scene.loggedDetails(event).map(({ born }) => born),
     );
     assert.deepEqual(startTimes, [[1000, 2000], [1000, 2000], [2000], [2000]]);
   });
@@ -238,33 +240,33 @@
   test('with a new address leads to connections to that address', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
-    await scene.use(scene.member());
+    await scene.acquireConnection(scene.member());
     scene.directory.listed({ ...FIRST, port: 7 });
     assert.equal(scene.opened[0]?.link.isOpen, false);
-    await scene.use(scene.member());
+    await scene.acquireConnection(scene.member());
     assert.deepEqual(
       scene.opened.map(({ port }) => port),
       [1, 7],
     );
     assert.equal(scene.group().former.size, 0, 'the incarnation has not ended');
-    assert.deepEqual(scene.forgotten, ['m']);
+    assert.deepEqual(scene.closedControlConnections, ['m']);
   });
 
   test('adds a member again after a long absence, with the connections that were in use', async () => {
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     const member = scene.member();
-    const used = await scene.use(member);
+    const used = await scene.acquireConnection(member);
     scene.directory.unlisted('m');
-    scene.pass(LEAVE_MS);
-    scene.pass(LEAVE_MS);
+    scene.advance(LEAVE_MS);
+    scene.advance(LEAVE_MS);
     assert.equal(scene.group().members.size, 0);
     scene.directory.listed(FIRST);
     assert.equal(scene.member(), member);
     assert.equal(member.hasEnded, false);
     assert.equal(scene.group().former.size, 0);
     assert.equal(used.isOpen, true);
-    await scene.use(member);
+    await scene.acquireConnection(member);
     scene.directory.listed(SECOND);
     assert.deepEqual(
       scene.opened.map(({ link }) => link.isOpen),
@@ -276,19 +278,19 @@
     const scene = new ListedMembers();
     const draining = { ...FIRST, isDraining: true };
     scene.directory.listed(draining);
-    scene.pass(LEAVE_MS / 2);
+    scene.advance(LEAVE_MS / 2);
     scene.directory.unreadable('m');
     scene.directory.listed(draining);
-    scene.pass(LEAVE_MS / 2);
+    scene.advance(LEAVE_MS / 2);
     assert.equal(scene.group().members.size, 0);
-    assert.equal(scene.logged('member_leaves').length, 1);
+    assert.equal(scene.loggedDetails('member_leaves').length, 1);
   });
 
   test('does not add a retired member again after it was unreadable for a while', () => {
     const scene = new ListedMembers();
     const draining = { ...FIRST, isDraining: true };
     scene.directory.listed(draining);
-    scene.pass(LEAVE_MS);
+    scene.advance(LEAVE_MS);
     scene.directory.unreadable('m');
     scene.directory.listed(draining);
     assert.equal(scene.group().members.size, 0);
@@ -305,8 +307,8 @@
     assert.equal(scene.group().members.size, 0);
     assert.equal(scene.group().findFormer('m'), member, 'it may still run');
     assert.equal(scene.group().evidence.leader, null);
-    assert.deepEqual(scene.doubted, ['g']);
-    assert.deepEqual(scene.logged('member_out'), [
+    assert.deepEqual(scene.doubtedGroups, ['g']);
+    assert.deepEqual(scene.loggedDetails('member_out'), [
       { group: 'g', member: 'm', born: 1000, reason: 'unreadable' },
     ]);
     scene.directory.listed(FIRST);
@@ -318,14 +320,14 @@
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.directory.unreadable('m');
-    scene.pass(2 * FORMER_MS);
+    scene.advance(2 * FORMER_MS);
     assert.equal(scene.group().former.size, 1);
     scene.directory.unlisted('m');
-    scene.pass(FORMER_MS - 1);
+    scene.advance(FORMER_MS - 1);
     assert.equal(scene.group().former.size, 1);
-    scene.pass(1);
+    scene.advance(1);
     assert.equal(scene.group().former.size, 0);
-    assert.deepEqual(scene.forgotten, ['m']);
+    assert.deepEqual(scene.closedControlConnections, ['m']);
   });
 
   test('does not block a later incarnation, and does not make an earlier one valid', () => {
@@ -351,7 +353,7 @@
     const scene = new ListedMembers([]);
     scene.directory.listed(FIRST);
     scene.directory.unreadable('m');
-    scene.watch('g');
+    scene.addGroup('g');
     assert.equal(scene.group().members.size, 0);
     scene.directory.listed(FIRST);
     assert.equal(scene.member().entry.bornMs, 1000);
@@ -367,8 +369,8 @@
       'which is a former member',
       (scene) => {
         scene.directory.unlisted('m');
-        scene.pass(LEAVE_MS);
-        scene.pass(LEAVE_MS);
+        scene.advance(LEAVE_MS);
+        scene.advance(LEAVE_MS);
       },
     ],
   ];
@@ -393,14 +395,14 @@
     scene.directory.listed(FIRST);
     scene.directory.listed(SECOND);
     assert.equal(scene.member(), member);
-    assert.equal(scene.logged('member_reborn').length, 0);
+    assert.equal(scene.loggedDetails('member_reborn').length, 0);
   });
 
   test('is not added to a group that is watched later', () => {
     const scene = new ListedMembers([]);
     scene.directory.listed(SECOND);
     scene.directory.listed(FIRST);
-    scene.watch('g');
+    scene.addGroup('g');
     assert.equal(scene.member().entry.bornMs, 2000);
   });
 
@@ -408,11 +410,11 @@
     const scene = new ListedMembers([]);
     scene.directory.listed(SECOND);
     scene.directory.unlisted('m');
-    scene.pass(FORMER_MS - 1);
+    scene.advance(FORMER_MS - 1);
     scene.directory.listed(FIRST);
-    scene.watch('g');
+    scene.addGroup('g');
     assert.equal(scene.group().members.size, 0);
-    scene.pass(1);
+    scene.advance(1);
     scene.directory.listed(FIRST);
     assert.equal(scene.member().entry.bornMs, 1000);
   });
@@ -436,10 +438,10 @@
     scene.directory.listed({ ...FIRST, isDraining: true });
     const { leavingSinceMs } = scene.member();
     simulateOutage(scene, FIRST);
-    scene.pass(HEARTBEAT_MS);
+    scene.advance(HEARTBEAT_MS);
     scene.directory.listed({ ...FIRST, isDraining: true });
     assert.equal(scene.member().leavingSinceMs, leavingSinceMs);
-    scene.pass(LEAVE_MS - HEARTBEAT_MS);
+    scene.advance(LEAVE_MS - HEARTBEAT_MS);
     assert.equal(scene.group().members.size, 0);
   });
 
@@ -447,14 +449,14 @@
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.directory.unlisted('m');
-    scene.pass(2 * HEARTBEAT_MS);
-    scene.pass(LEAVE_MS);
+    scene.advance(2 * HEARTBEAT_MS);
+    scene.advance(LEAVE_MS);
     assert.equal(scene.group().members.size, 0);
     simulateOutage(scene, FIRST);
-    scene.pass(HEARTBEAT_MS);
+    scene.advance(HEARTBEAT_MS);
     assert.equal(scene.group().members.size, 0);
     scene.directory.unlisted('m');
-    scene.pass(10 * HEARTBEAT_MS);
+    scene.advance(10 * HEARTBEAT_MS);
     assert.equal(scene.group().members.size, 0);
   });
 
@@ -462,10 +464,10 @@
     const scene = new ListedMembers();
     scene.directory.listed(FIRST);
     scene.directory.unlisted('m');
-    scene.pass(2 * HEARTBEAT_MS);
-    scene.pass(LEAVE_MS);
+    scene.advance(2 * HEARTBEAT_MS);
+    scene.advance(LEAVE_MS);
     simulateOutage(scene, FIRST);
-    scene.pass(5 * HEARTBEAT_MS);
+    scene.advance(5 * HEARTBEAT_MS);
     assert.equal(scene.member().isLeaving, false);
   });
 });
--- a/src/topology/member-lives.property.test.ts
+++ b/src/topology/member-lives.property.test.ts
@@ -143,7 +143,7 @@
       case 'use':
         for (const group of scene.groups.values()) {
           const member = group.members.get(next.id);
-          if (member !== undefined && !member.pool.ownPool.isExhausted) await scene.use(member);
+          if (member !== undefined && !member.pool.ownPool.isExhausted) await scene.acquireConnection(member);
         }
         return;
       case 'listing':
@@ -160,7 +160,7 @@
 
   #pass(ms: number): void {
     const used = IDS.filter((memberId) => this.#isUsed(memberId));
-    this.scene.pass(ms);
+    this.scene.advance(ms);
     this.#checkDeferred();
     for (const memberId of used) {
       const isListed = this.#lastReports.get(memberId)?.goneSinceMs === null;
@@ -338,7 +338,12 @@
         former: [...former].map(([key, member]) => [key, stateOf(member)]),
         leader: evidence.leader,
       })),
-      counts: [scene.created.length, scene.events.length, scene.forgotten.length, scene.doubted.length],
+      counts: [
+        scene.created.length,
+        scene.events.length,
+        scene.closedControlConnections.length,
+        scene.doubtedGroups.length,
+      ],
     };
   }
 }
--- a/test/integration/connection-congestion.test.ts
+++ b/test/integration/connection-congestion.test.ts
@@ -121,7 +121,7 @@
     perSecond: number,
     ms: number,
   ): Promise<{ readonly served: number; readonly inTime: number }> {
-    const before = { served: this.member.served, inTime: this.inTime };
+    const before = { served: this.member.answeredStatements, inTime: this.inTime };
     let due = 0;
     for (let step = 0; step < ms; step += 1) {
       due += perSecond / 1000;
@@ -129,7 +129,7 @@
       await this.time.advance(1);
       for (const pool of this.#pools.values()) pool.trim();
     }
-    return { served: this.member.served - before.served, inTime: this.inTime - before.inTime };
+    return { served: this.member.answeredStatements - before.served, inTime: this.inTime - before.inTime };
   }
 
   #memberOf(name: string): Member {
@@ -182,8 +182,8 @@
   await time.advance(2000);
   assert.ok(fleet.answeredStatusRequests > DAEMONS, `answered: ${fleet.answeredStatusRequests}`);
   assert.ok(
-    fleet.member.dials <= GATEWAYS * CONNECTIONS_PER_GATEWAY,
-    `connections begun: ${fleet.member.dials}`,
+    fleet.member.connectionAttempts <= GATEWAYS * CONNECTIONS_PER_GATEWAY,
+    `connections begun: ${fleet.member.connectionAttempts}`,
   );
 });
 
--- a/test/support/daemon-records.ts
+++ b/test/support/daemon-records.ts
@@ -11,6 +11,6 @@
 }
 
 /** Records of `size` daemons in one zone, named `d0`, `d1`, and so on. */
-export function fleetOf(size: number): readonly DaemonRecord[] {
+export function daemonRecords(size: number): readonly DaemonRecord[] {
   return Array.from({ length: size }, (_, index) => daemonRecord(`d${index}`));
 }
--- a/test/support/seen-store.ts
+++ b/test/support/daemon-store-view.ts
@@ -18,9 +18,9 @@
 import type { MemoryStore } from './memory-store.js';
 
 /** One daemon's view of a store. */
-export class SeenStore implements CoordinationStore {
+export class DaemonStoreView implements CoordinationStore {
   readonly era = new StoreEra();
-  isCut = false;
+  isDisconnected = false;
   reads = 0;
   items: ReadonlyMap<string, StoredItem> = new Map();
   revision: Revision = NO_REVISION;
@@ -28,7 +28,7 @@
   constructor(private readonly store: MemoryStore) {}
 
   /** Refreshes the local copy. */
-  look(): void {
+  refresh(): void {
     this.#contactStore();
     this.items = new Map(this.store.items);
     this.revision = this.store.revision;
@@ -73,7 +73,7 @@
   }
 
   #contactStore(): void {
-    if (this.isCut) throw new StoreError('cut off', false);
+    if (this.isDisconnected) throw new StoreError('cut off', false);
     this.era.observe(this.store.era.current);
   }
 }
--- a/test/support/listed-members.ts
+++ b/test/support/listed-members.ts
@@ -36,7 +36,7 @@
 }
 
 /** An opened connection and its port. */
-export interface Opened {
+export interface OpenedConnection {
   readonly link: FakeLink;
   readonly port: number;
 }
@@ -47,11 +47,11 @@
   readonly groups = new Map<string, MemberGroup>();
   /** All members that were created, oldest first. */
   readonly created: Member[] = [];
-  readonly opened: Opened[] = [];
+  readonly opened: OpenedConnection[] = [];
   /** Ids of the members whose control connections the directory has closed. */
-  readonly forgotten: string[] = [];
+  readonly closedControlConnections: string[] = [];
   /** Names of the groups whose leader the directory reported as in doubt. */
-  readonly doubted: string[] = [];
+  readonly doubtedGroups: string[] = [];
   readonly events: { readonly event: string; readonly details: Readonly<Record<string, unknown>> }[] = [];
   now = 0;
 
@@ -64,9 +64,9 @@
       group: (name) => this.groups.get(name) ?? null,
       create: (entry) => this.#create(entry),
       changed: () => undefined,
-      leaderInDoubt: ({ name }) => void this.doubted.push(name),
+      leaderInDoubt: ({ name }) => void this.doubtedGroups.push(name),
       incarnationEnded: () => undefined,
-      closeControlConnections: (memberId) => void this.forgotten.push(memberId),
+      closeControlConnections: (memberId) => void this.closedControlConnections.push(memberId),
       log: (event, details) => void this.events.push({ event, details }),
       now: () => this.now,
     });
@@ -75,7 +75,7 @@
   }
 
   /** Adds a group, with its listed members. */
-  watch(name: string): void {
+  addGroup(name: string): void {
     const group = new MemberGroup(name);
     this.groups.set(name, group);
     this.directory.addListedMembers(group);
@@ -96,13 +96,13 @@
   }
 
   /** Advances the clock, then checks all groups. */
-  pass(ms: number): void {
+  advance(ms: number): void {
     this.now += ms;
     for (const group of this.groups.values()) this.directory.check(group);
   }
 
   /** Acquires a connection of a member. */
-  async use(member: Member): Promise<SessionLink> {
+  async acquireConnection(member: Member): Promise<SessionLink> {
     const demand = {
       tenantName: null,
       values: new Map<string, string>(),
@@ -114,7 +114,7 @@
   }
 
   /** Returns the details of all events logged under a name. */
-  logged(event: string): readonly Readonly<Record<string, unknown>>[] {
+  loggedDetails(event: string): readonly Readonly<Record<string, unknown>>[] {
     return this.events.filter((line) => line.event === event).map(({ details }) => details);
   }
 
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -77,13 +77,16 @@
     return Promise.resolve({ kind: 'done', revision: this.revision });
   }
 
-  /** Takes a backup for {@link MemoryStore.comeBackFrom}. */
-  copy(): { readonly items: ReadonlyMap<string, StoredItem & { leaseId: number }>; readonly number: number } {
+  /** Takes a backup for {@link MemoryStore.restoreBackup}. */
+  createBackup(): {
+    readonly items: ReadonlyMap<string, StoredItem & { leaseId: number }>;
+    readonly number: number;
+  } {
     return { items: new Map(this.items), number: this.number };
   }
 
   /** Restores a backup: the era increases, revision numbers go back, and all leases are lost. */
-  comeBackFrom(copy: ReturnType<MemoryStore['copy']>): void {
+  restoreBackup(copy: ReturnType<MemoryStore['createBackup']>): void {
     const era = this.era.current + 1;
     this.items.clear();
     for (const [key, item] of copy.items)
@@ -114,6 +117,6 @@
 }
 
 /** Lets pending promise callbacks and immediates run. */
-export async function settle(): Promise<void> {
+export async function runPendingCallbacks(): Promise<void> {
   for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/support/modelled-group.ts
+++ b/test/support/modelled-group.ts
@@ -21,7 +21,7 @@
 const PROMOTION_EFFECT_MS = 50;
 /** Time after which a request to an unreachable member times out, in milliseconds. */
 const UNREACHABLE_TIMEOUT_MS = 100;
-/** Interval at which {@link ModelledGroup.until} checks for the event, in milliseconds. */
+/** Interval at which {@link ModelledGroup.runUntil} checks for the event, in milliseconds. */
 const POLL_INTERVAL_MS = 5;
 /** Longest wait for an event, in milliseconds. */
 const MAX_WAIT_MS = 20_000;
@@ -32,14 +32,14 @@
   /** `ended`: the member refuses connections; `dark`: it is unreachable, and requests time out. */
   state: 'running' | 'ended' | 'dark' = 'running';
   /** True when the member receives no commits; it still answers requests. */
-  isDeaf = false;
+  isReplicationStopped = false;
   /** True when the member does not answer the holder of the duty, though it answers others. */
-  isCutFromHolder = false;
+  isUnreachableFromHolder = false;
   pausedForTerm = 0;
   term = FIRST_TERM;
   received: Position = { term: FIRST_TERM, index: 1 };
   /** Number of status requests received. */
-  statuses = 0;
+  statusRequestCount = 0;
 
   constructor(
     readonly memberId: string,
@@ -51,18 +51,18 @@
 export class ModelledGroup {
   readonly events: string[] = [];
   /** Outcome of the supervisor's orders, by name of the daemon that receives them. */
-  readonly daemons = new Map<string, OrderOutcome>();
+  readonly orderOutcomes = new Map<string, OrderOutcome>();
   readonly group = new MemberGroup('g');
   readonly supervisor: GroupSupervisor;
   readonly #members = new Map<string, GroupMember>();
   /** Handles a call to the platform; by default it is accepted, and the member leads soon after. */
-  platform: (memberId: string) => Promise<boolean> = (memberId) => {
-    setTimeout(() => this.lead(memberId), PROMOTION_EFFECT_MS);
+  handlePromotion: (memberId: string) => Promise<boolean> = (memberId) => {
+    setTimeout(() => this.makeLeader(memberId), PROMOTION_EFFECT_MS);
     return Promise.resolve(true);
   };
   isDutyHeld = true;
   /** Time for which the lease of the duty remains valid, in milliseconds; it does not decrease. */
-  heldForMs = Number.POSITIVE_INFINITY;
+  dutyValidForMs = Number.POSITIVE_INFINITY;
 
   constructor(memberIds: readonly string[]) {
     memberIds.forEach((memberId, index) => this.add(memberId, index));
@@ -76,10 +76,10 @@
       promotion: {
         promote: (_group, memberId) => {
           this.events.push(`promote ${memberId}`);
-          return this.platform(memberId);
+          return this.handlePromotion(memberId);
         },
       },
-      heldFence: (reserveMs) => (this.isDutyHeld && reserveMs < this.heldForMs ? 1 : null),
+      heldFence: (reserveMs) => (this.isDutyHeld && reserveMs < this.dutyValidForMs ? 1 : null),
       order: (order, _timeoutMs, recipients) => this.#deliverOrder(order, recipients),
       connectedDaemonCount: () => 2,
       usesGateways: () => false,
@@ -116,7 +116,7 @@
   }
 
   /** Removes a member from the directory; it gets no new work. */
-  retire(memberId: string): void {
+  delist(memberId: string): void {
     const member = this.group.members.get(memberId);
     if (member === undefined) return;
     member.leavingSinceMs = performance.now();
@@ -132,7 +132,7 @@
         member !== primary &&
         member.state === 'running' &&
         !member.isPrimary &&
-        !member.isDeaf &&
+        !member.isReplicationStopped &&
         member.pausedForTerm === 0 &&
         member.term === primary.term,
     );
@@ -141,7 +141,7 @@
   }
 
   /** Makes a member the leader of the next term, as the platform does. */
-  lead(memberId: string): void {
+  makeLeader(memberId: string): void {
     const member = this.member(memberId);
     member.isPrimary = true;
     member.pausedForTerm = 0;
@@ -150,9 +150,9 @@
   }
 
   /** Runs the supervisor until an event; fails after {@link MAX_WAIT_MS}. */
-  async until(event: string): Promise<void> {
+  async runUntil(event: string): Promise<void> {
     const running = this.supervisor.run();
-    await this.reached(event);
+    await this.waitForEvent(event);
     this.supervisor.stop();
     await running;
   }
@@ -161,7 +161,7 @@
    * Runs the supervisor with a leader that is suspected all the time; returns true when a promotion completes
    * within `ms`.
    */
-  async isLedWithin(ms: number): Promise<boolean> {
+  async completesPromotionWithin(ms: number): Promise<boolean> {
     const running = this.supervisor.run();
     const untilMs = performance.now() + ms;
     while (!this.events.includes('promotion_ends') && performance.now() < untilMs) {
@@ -174,7 +174,7 @@
   }
 
   /** Waits for an event; fails after {@link MAX_WAIT_MS}. */
-  async reached(event: string): Promise<void> {
+  async waitForEvent(event: string): Promise<void> {
     const deadlineMs = performance.now() + MAX_WAIT_MS;
     while (!this.events.includes(event)) {
       if (performance.now() > deadlineMs)
@@ -185,9 +185,9 @@
 
   #answerRequest({ entry }: Member, request: MemberRequest): Promise<ControlAnswer> {
     const member = this.member(entry.memberId);
-    if (request.kind === 'status') member.statuses += 1;
+    if (request.kind === 'status') member.statusRequestCount += 1;
     if (member.state === 'ended') return Promise.resolve({ kind: 'refused' });
-    if (member.isCutFromHolder) return Promise.resolve({ kind: 'silent' });
+    if (member.isUnreachableFromHolder) return Promise.resolve({ kind: 'silent' });
     if (member.state === 'dark') return delay(UNREACHABLE_TIMEOUT_MS).then(() => ({ kind: 'silent' }));
     if (request.kind === 'pause' && !member.isPrimary) member.pausedForTerm = request.term;
     if (request.kind === 'resume') member.pausedForTerm = 0;
@@ -202,7 +202,7 @@
       if (recipients === undefined) return true;
       return 'only' in recipients ? recipients.only.has(name) : !recipients.except.has(name);
     };
-    const asked = [...this.daemons].filter(([name]) => isRecipient(name));
+    const asked = [...this.orderOutcomes].filter(([name]) => isRecipient(name));
     return Promise.resolve(new Map(asked));
   }
 }
--- a/test/support/modelled-member.ts
+++ b/test/support/modelled-member.ts
@@ -38,11 +38,11 @@
 /** The member, which is also the dialer of its connections. */
 export class ModelledMember {
   /** Connection attempts. */
-  dials = 0;
+  connectionAttempts = 0;
   /** Statements answered. */
-  served = 0;
+  answeredStatements = 0;
   /** Status requests answered. */
-  statuses = 0;
+  answeredStatusRequests = 0;
   readonly #waiting: SlotTask[] = [];
   #busy = 0;
 
@@ -50,7 +50,7 @@
 
   /** Opens a connection; an attempt that times out still occupies its slot. */
   dial(_address: unknown, timeoutMs: number, acceptMs = timeoutMs): Promise<MemberLink> {
-    this.dials += 1;
+    this.connectionAttempts += 1;
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => reject(new DialError('slow', 'not accepted in time')), acceptMs);
       this.#occupySlot(this.model.handshakeMs, () => {
@@ -66,8 +66,8 @@
     const isStatus = request.kind === 'status';
     return new Promise((resolve) =>
       this.#occupySlot(isStatus ? STATUS_MS : this.model.workMs, () => {
-        if (isStatus) this.statuses += 1;
-        else this.served += 1;
+        if (isStatus) this.answeredStatusRequests += 1;
+        else this.answeredStatements += 1;
         resolve(completion(isStatus ? [STATUS_ROW] : []));
       }),
     );
--- a/test/support/modelled-quota-fleet.ts
+++ b/test/support/modelled-quota-fleet.ts
@@ -12,8 +12,8 @@
 /** A fleet with simulated time, which the test advances. */
 export class ModelledFleet {
   nowMs = 0;
-  readonly runs: number[] = [];
-  refused = 0;
+  readonly grantedAtMs: number[] = [];
+  refusedCount = 0;
   readonly #services = new Map<string, QuotaService>();
   readonly #views = new Map<string, readonly DaemonRecord[]>();
   readonly #down = new Set<string>();
@@ -58,23 +58,23 @@
   }
 
   /** Disconnects a daemon from all others, in both directions. */
-  cut({ name }: DaemonRecord): void {
+  disconnect({ name }: DaemonRecord): void {
     this.#disconnected.add(name);
   }
 
   /** Sets the daemons that a daemon knows to be live. */
-  view({ name }: DaemonRecord, records: readonly DaemonRecord[]): void {
+  setLiveDaemons({ name }: DaemonRecord, records: readonly DaemonRecord[]): void {
     this.#views.set(name, records);
     this.#services.get(name)?.daemonsChanged();
   }
 
   /** Submits an operation to a daemon. */
-  operation({ name }: DaemonRecord): void {
+  submitOperation({ name }: DaemonRecord): void {
     const service = this.#services.get(name);
     if (service === undefined) return;
     void Promise.resolve(service.charge(this.tenant)).then((charge) => {
-      if (charge.kind === 'charged') this.runs.push(this.nowMs);
-      else this.refused += 1;
+      if (charge.kind === 'charged') this.grantedAtMs.push(this.nowMs);
+      else this.refusedCount += 1;
     });
   }
 
--- a/test/support/quiet-observer.ts
+++ b/test/support/noop-observer.ts
@@ -6,7 +6,7 @@
 import type { RelayObserver } from '../../src/relay/relay-context.js';
 
 /** Ignores all notifications. */
-export const QUIET_OBSERVER: RelayObserver = {
+export const NOOP_OBSERVER: RelayObserver = {
   routine: () => undefined,
   notable: () => undefined,
   memberAnswered: () => undefined,
--- a/test/support/relay-members.ts
+++ b/test/support/relay-members.ts
@@ -51,7 +51,10 @@
 }
 
 /** Creates a group of the members given by id. `leader` leads term 1; the test has to add evidence for it. */
-export function testGroup(dialers: Readonly<Record<string, MemberDialer>>, now: () => number): MemberGroup {
+export function createTestGroup(
+  dialers: Readonly<Record<string, MemberDialer>>,
+  now: () => number,
+): MemberGroup {
   const group = new MemberGroup(GROUP);
   for (const [memberId, dialer] of Object.entries(dialers))
     group.members.set(memberId, createMember(memberId, dialer, now));
--- a/test/support/next-life.ts
+++ b/test/support/restart-member.ts
@@ -9,7 +9,7 @@
 import type { ModelledGroup } from './modelled-group.js';
 
 /** Data that a member keeps across a restart. */
-export type Kept = 'log' | 'nothing';
+export type KeptData = 'log' | 'nothing';
 
 /** Start time of the latest incarnation, in milliseconds of the Unix epoch. */
 let lastStartMs = 0;
@@ -19,7 +19,7 @@
  *
  * @returns the incarnation that has ended, now a former member
  */
-export function startNextLife(scene: ModelledGroup, memberId: string, kept: Kept): Member {
+export function restartMember(scene: ModelledGroup, memberId: string, kept: KeptData): Member {
   const { group } = scene;
   const before = group.members.get(memberId) ?? group.findFormer(memberId);
   if (before === null) throw new Error(`no member ${memberId}`);
--- a/test/support/revisions.ts
+++ b/test/support/revisions.ts
@@ -6,6 +6,6 @@
 import type { Revision } from '../../src/coordination/revision.js';
 
 /** A revision of the first era. */
-export function at(number: number): Revision {
+export function firstEraRevision(number: number): Revision {
   return { era: 0, number };
 }
--- a/test/support/slow-link.ts
+++ b/test/support/slow-link.ts
@@ -15,7 +15,7 @@
 export class SlowLink implements MemberLink {
   isOpen = true;
   lastReceivedMs = 0;
-  readonly ran: string[] = [];
+  readonly executed: string[] = [];
   readonly #pending: {
     request: MemberRequest;
     resolve(reply: MemberReply): void;
@@ -30,7 +30,7 @@
   }
 
   /** True while a request is unanswered. */
-  get isAsked(): boolean {
+  get hasPendingRequest(): boolean {
     return this.#pending.length > 0;
   }
 
@@ -68,7 +68,7 @@
     if (kind === 'begin') this.#isInTransaction = true;
     if (kind === 'rollback') this.#isInTransaction = false;
     if (kind === 'statement' || kind === 'execute')
-      this.ran.push(`${kind} ${this.#isInTransaction ? 'inside' : 'outside'}`);
+      this.executed.push(`${kind} ${this.#isInTransaction ? 'inside' : 'outside'}`);
   }
 
   onClosed(listener: (isByPeer: boolean) => void): void {
