--- a/test/mutation/mutations.ts
+++ b/test/mutation/mutations.ts
@@ -27,18 +27,18 @@
 const LIVES = 'src/topology/member-lives.property.test.js';
 const QUOTA = 'src/quota/quota.test.js';
 
-const LAST_MOMENT = 'src/leadership/last-moment.test.js';
-const DOUBTS = 'src/leadership/doubts-that-end.test.js';
-const EARLIER_HOLDER = 'src/leadership/earlier-holder.test.js';
-const PAST_LIVES = 'src/leadership/past-lives.test.js';
-const REBORN_MEMBERS = 'src/leadership/reborn-members.test.js';
+const LAST_MOMENT = 'src/leadership/promotion-final-check.test.js';
+const DOUBTS = 'src/leadership/promotion-after-restarts.test.js';
+const EARLIER_HOLDER = 'src/leadership/earlier-duty-holder.test.js';
+const PAST_LIVES = 'src/leadership/lost-incarnations.test.js';
+const REBORN_MEMBERS = 'src/leadership/promotion-member-restarts.test.js';
 const PROMOTION_TIME = 'src/leadership/promotion-time.test.js';
 const COMMIT_PROOF = 'src/relay/commit-proof.test.js';
 const REBORN = 'platform/test/reborn.test.js';
-const NEXT_LIFE = 'src/relay/next-life.test.js';
+const NEXT_LIFE = 'src/relay/restarted-leader.test.js';
 const ENDED_DAEMON = 'src/leadership/ended-daemon.test.js';
-const DAEMON_ENDS = 'src/cluster/daemon-ends.test.js';
-const LEADER_NEXT_LIFE = 'src/leadership/leader-next-life.test.js';
+const DAEMON_ENDS = 'src/cluster/absence-tracker.test.js';
+const LEADER_NEXT_LIFE = 'src/leadership/leader-restart.test.js';
 
 const FOREIGN_ENTRIES = 'platform/test/foreign-entries.test.js';
 const FOREIGN_KEYS = 'src/coordination/foreign-keys.test.js';
@@ -70,16 +70,16 @@
   {
     property: 'return of the store: a watch of an earlier era is told to read everything',
     file: 'platform/metadata-store.js',
-    search: 'answer.status === 410 || answer.era !== after.era',
-    replacement: 'answer.status === 410',
+    search: 'response.status === 410 || response.era !== after.era',
+    replacement: 'response.status === 410',
     testFile: METADATA_STORE,
     testName: 'tells a watch from an earlier era',
   },
   {
     property: 'return of the store: a lease ends with its era',
     file: 'platform/metadata-store.js',
-    search: 'answer.status === 404 || answer.era !== sentInEra',
-    replacement: 'answer.status === 404',
+    search: 'response.status === 404 || response.era !== sentInEra',
+    replacement: 'response.status === 404',
     testFile: METADATA_STORE,
     testName: 'renews no lease of an earlier era',
   },
@@ -102,7 +102,7 @@
   {
     property: 'return of the store: its word for the newest configuration is checked with other daemons',
     file: 'src/tenancy/lease-renewal.js',
-    search: 'lease.hear(version, now());',
+    search: 'lease.observeVersion(version, now());',
     replacement: '',
     testFile: LEASE_RENEWAL,
     testName: 'is not relied on while another daemon knows',
@@ -134,7 +134,7 @@
   {
     property: 'entries: a start is a whole number',
     file: 'platform/wire-schemas.js',
-    search: 'born: z.optional(count)',
+    search: 'born: z.optional(nonNegativeIntSchema)',
     replacement: 'born: z.optional(z.number())',
     testFile: FOREIGN_ENTRIES,
     testName: 'fractional start',
@@ -142,15 +142,15 @@
   {
     property: 'entries: a listener that throws keeps nobody from being told',
     file: 'src/coordination/watched-store.js',
-    search: "this.#faults.tell('listener_failed'",
-    replacement: "throw error; this.#faults.tell('listener_failed'",
+    search: "this.#faults.report('listener_failed'",
+    replacement: "throw error; this.#faults.report('listener_failed'",
     testFile: 'src/coordination/watched-store.test.js',
     testName: 'listeners throw',
   },
   {
     property: 'entries: the fence rises also where it cannot be read',
     file: 'src/coordination/duty-record.js',
-    search: 'item?.revision ?? 0',
+    search: 'item?.revision.number ?? 0',
     replacement: '0',
     testFile: FOREIGN_KEYS,
     testName: 'neither it nor the record',
@@ -166,7 +166,7 @@
   {
     property: 'keys: a proof of a configuration that has not come renews nothing',
     file: 'src/tenancy/configuration-lease.js',
-    search: 'if (proof.revision > this.#heldRevision)',
+    search: 'if (proof.version > this.#heldVersion)',
     replacement: 'if (false)',
     testFile: TENANCY,
     testName: 'whatever is late, lost or handed on',
@@ -174,7 +174,7 @@
   {
     property: 'keys: the lease ends',
     file: 'src/tenancy/configuration-lease.js',
-    search: 'nowMs - this.#held.provenAtMs < this.boundMs - SAFETY_MS',
+    search: 'nowMs - this.#heldProof.provenAtMs < this.boundMs - CLOCK_DRIFT_MARGIN_MS',
     replacement: 'true',
     testFile: TENANCY,
     testName: 'whatever is late, lost or handed on',
@@ -182,8 +182,8 @@
   {
     property: 'keys: a proof that is handed on keeps its age',
     file: 'src/tenancy/configuration-lease.js',
-    search: 'ageMs < this.boundMs ? { revision: this.#latest.revision, ageMs }',
-    replacement: 'ageMs < this.boundMs ? { revision: this.#latest.revision, ageMs: 0 }',
+    search: 'ageMs < this.boundMs ? { version: this.#latestProof.version, ageMs }',
+    replacement: 'ageMs < this.boundMs ? { version: this.#latestProof.version, ageMs: 0 }',
     testFile: TENANCY,
     testName: 'whatever is late, lost or handed on',
   },
@@ -285,8 +285,8 @@
   },
   {
     property: 'not run is true: doubt after a lost attempt',
-    file: 'src/engine/doubtful-sink.js',
-    search: "error.verdict === 'not_run' ? doubt(error) : error",
+    file: 'src/engine/indeterminate-outcome-sink.js',
+    search: "error.verdict === 'not_run' ? indeterminate(error) : error",
     replacement: 'error',
     testFile: 'src/entry/request-router.test.js',
     testName: 'found no owner may have run',
@@ -326,7 +326,7 @@
   {
     property: 'connection limit: fencing of the earlier owner',
     file: 'src/member/member-monitor.js',
-    search: 'await this.#ask(connection, FENCE_STATEMENT);',
+    search: 'await this.#query(connection, FENCE_STATEMENT);',
     replacement: '',
     testFile: PAUSED,
     testName: 'connections of a paused owner',
@@ -342,7 +342,7 @@
   {
     property: 'a resumed daemon runs no old requests',
     file: 'src/entry/client-connection.js',
-    search: 'if (this.options.mayReadBeOld()) {',
+    search: 'if (this.options.mayInputPredatePause()) {',
     replacement: 'if (false) {',
     testFile: PAUSED,
     testName: 'waited in a paused daemon',
@@ -367,7 +367,7 @@
     property: 'lives: connections in use end with the life',
     file: 'src/topology/member-directory.js',
     search: 'member.pool.end();',
-    replacement: 'member.pool.own.close();',
+    replacement: 'member.pool.ownPool.close();',
     testFile: LIVES,
     testName: 'one living member at most',
   },
@@ -382,15 +382,15 @@
   {
     property: 'lives: a life that ended is kept in mind',
     file: 'src/topology/member-directory.js',
-    search: 'member.missingSinceMs = this.options.now();\n            this.#cutOff(member);',
-    replacement: 'group.dropFormer(member);\n            this.#cutOff(member);',
+    search: 'member.missingSinceMs = this.options.now();\n            this.#closeConnections(member);',
+    replacement: 'group.removeFormer(member);\n            this.#closeConnections(member);',
     testFile: LIVES,
     testName: 'one living member at most',
   },
   {
     property: 'lives: what was unlisted is remembered',
     file: 'src/topology/member-directory.js',
-    search: 'this.options.now() - unlistedSinceMs < FORMER_MS',
+    search: 'this.options.now() - unlistedSinceMs < FORMER_RETENTION_MS',
     replacement: 'false',
     testFile: 'src/topology/member-directory.test.js',
     testName: 'where nobody watches the group',
@@ -414,7 +414,7 @@
   {
     property: 'lives: a former member that comes back keeps its connections',
     file: 'src/topology/member-directory.js',
-    search: 'member.pool.own.reopen();',
+    search: 'member.pool.ownPool.reopen();',
     replacement: '',
     testFile: LIVES,
     testName: 'one living member at most',
@@ -429,10 +429,10 @@
   },
   {
     property: 'lives: trouble of an ended life is not that of the next',
-    file: 'src/relay/leader-doubts.js',
+    file: 'src/relay/failure-detector.js',
     search: 'if (member.hasEnded)\n            return;',
     replacement: '',
-    testFile: 'src/relay/leader-doubts.test.js',
+    testFile: 'src/relay/failure-detector.test.js',
     testName: 'says nothing of the next one',
   },
   {
@@ -478,7 +478,7 @@
   {
     property: 'lives: assignments follow the entry',
     file: 'src/gateway/assignments.js',
-    search: 'isAssignedAlike(known.entry, entry)',
+    search: 'hasSameAssignmentInputs(cached.entry, entry)',
     replacement: 'true',
     testFile: 'src/gateway/assignments.test.js',
     testName: 'assigned anew',
@@ -486,7 +486,7 @@
   {
     property: 'promotions: every daemon says its last word',
     file: 'src/leadership/promotion.js',
-    search: "await options.order(this.#order('seal'), ORDER_MS, { except: silent })",
+    search: "await options.order(this.#order('seal'), ORDER_TIMEOUT_MS, { except: unanswered })",
     replacement: 'new Map()',
     testFile: 'src/leadership/promotion-loss.test.js',
     testName: 'does not keep a replica from the lead',
@@ -494,8 +494,8 @@
   {
     property: 'promotions: a replica that is silent at the last look is missing',
     file: 'src/leadership/replica-pauses.js',
-    search: 'silent.push(member.entry);',
-    replacement: 'standing.push(paused[index]);',
+    search: 'return void unanswered.push(this.#toMissing(member, reason));',
+    replacement: 'return void stillPaused.push(paused[index]);',
     testFile: LAST_MOMENT,
     testName: 'silent at the last look',
   },
@@ -503,14 +503,14 @@
     property: 'promotions: a replica that has appeared is paused before the last look',
     file: 'src/leadership/promotion.js',
     search: 'const late = await this.#pause(unknown, pauses.paused);',
-    replacement: 'const late = { paused: [], missing: [] };',
+    replacement: 'const late = { paused: [], missing: [], ended: [] };',
     testFile: LAST_MOMENT,
     testName: 'appears before the last look',
   },
   {
     property: 'promotions: replicas stay paused while the platform acts',
     file: 'src/leadership/appointment.js',
-    search: 'ports.keepPaused();',
+    search: 'ports.enforcePauses();',
     replacement: '',
     testFile: LAST_MOMENT,
     testName: 'appears while the platform acts',
@@ -518,7 +518,7 @@
   {
     property: 'promotions: what was said before the last word is no limit',
     file: 'src/leadership/promotion.js',
-    search: 'asUnheardSince(outcome)',
+    search: 'withoutLimit(outcome)',
     replacement: 'outcome',
     testFile: LAST_MOMENT,
     testName: 'no limit of what',
@@ -541,7 +541,7 @@
   },
   {
     property: 'promotions: a shorter log is a lost life',
-    file: 'src/leadership/lost-lives.js',
+    file: 'src/leadership/lost-incarnations.js',
     search: 'return isEmpty(received) || term <= known.term;',
     replacement: 'return isEmpty(received);',
     testFile: PAST_LIVES,
@@ -549,7 +549,7 @@
   },
   {
     property: 'promotions: a lost life is covered',
-    file: 'src/leadership/lost-lives.js',
+    file: 'src/leadership/lost-incarnations.js',
     search: 'loss.limit ??= position;',
     replacement: ';',
     testFile: PAST_LIVES,
@@ -558,7 +558,7 @@
   {
     property: 'promotions: a step down below what is known bounds nothing',
     file: 'src/leadership/step-downs.js',
-    search: '!hasReached(this.#last.held, told.latest)',
+    search: '!hasReached(this.#last.held, reported.latest)',
     replacement: 'false',
     testFile: PAST_LIVES,
     testName: 'it is another life',
@@ -574,7 +574,7 @@
   {
     property: 'promotions: a leader steps down only for a call that can be made',
     file: 'src/leadership/promotion.js',
-    search: 'this.ports.fence(DUTY_RESERVE_MS + STATUS_MS) === null',
+    search: 'this.ports.fence(DUTY_RESERVE_MS + STATUS_TIMEOUT_MS) === null',
     replacement: 'false',
     testFile: PROMOTION_TIME,
     testName: 'is not told to step down',
@@ -582,8 +582,8 @@
   {
     property: 'promotions: what a leader held when it stepped down is a bound',
     file: 'src/leadership/step-downs.js',
-    search: 'bound(term, told) {',
-    replacement: 'bound(term, told) {\n        return told;',
+    search: 'bound(term, reported) {',
+    replacement: 'bound(term, reported) {\n        return reported;',
     testFile: PROMOTION_TIME,
     testName: 'bounds what was acknowledged',
   },
@@ -605,7 +605,7 @@
   },
   {
     property: 'lost lives: an empty log is one',
-    file: 'src/leadership/lost-lives.js',
+    file: 'src/leadership/lost-incarnations.js',
     search: 'return isEmpty(received);',
     replacement: 'return false;',
     testFile: REBORN_MEMBERS,
@@ -614,7 +614,7 @@
   {
     property: 'lost lives: one is missing',
     file: 'src/leadership/replica-pauses.js',
-    search: ', ...this.lost.uncovered(received, this.now())]',
+    search: ', ...this.lost.uncovered(received, leaderId, this.now())]',
     replacement: ']',
     testFile: REBORN_MEMBERS,
     testName: 'only replica that had a commit',
@@ -646,7 +646,7 @@
   {
     property: 'commits: nothing is acknowledged after the last word',
     file: 'src/leadership/leadership-evidence.js',
-    search: 'this.#yielded = null;',
+    search: 'this.#revocationGrace = null;',
     replacement: '',
     testFile: 'src/leadership/leadership.test.js',
     testName: 'after its last word',
@@ -670,7 +670,7 @@
   {
     property: 'reads: a leader that has lost its log is not read',
     file: 'src/relay/read-runner.js',
-    search: 'asLeader ? job.group.heldByLeader : ',
+    search: 'asLeader ? job.group.leaderPosition : ',
     replacement: 'asLeader ? null : ',
     testFile: REBORN,
     testName: 'not read from as if it led',
@@ -678,7 +678,7 @@
   {
     property: 'doubts: lives that have ended count no more once the leader is heard',
     file: 'src/leadership/promotion.js',
-    search: 'if (heard.has(led.memberId))',
+    search: 'if (respondingIds.has(led.memberId))',
     replacement: 'if (false)',
     testFile: DOUBTS,
     testName: 'once all members answer',
@@ -689,7 +689,7 @@
     search: 'return !isForgotten && !leaderLoss.isOver(led, options.now());',
     replacement: 'return false;',
     testFile: DOUBTS,
-    testName: 'while the leader is down',
+    testName: 'are missing while the leader is down',
   },
   {
     property: 'doubts: there is one wait for the group',
@@ -702,7 +702,7 @@
   {
     property: 'doubts: a life that has ended is settled by its next one',
     file: 'src/leadership/promotion.js',
-    search: ': ended.filter(({ memberId }) => !heard.has(memberId))',
+    search: ': ended.filter(({ memberId }) => !respondingIds.has(memberId))',
     replacement: ': []',
     testFile: DOUBTS,
     testName: 'next life has not been looked at',
@@ -710,22 +710,22 @@
   {
     property: 'doubts: nobody is left out for standing first',
     file: 'src/leadership/group-supervisor.js',
-    search: 'await this.#promote(isGuess ? null : leader, isGuess',
-    replacement: 'await this.#promote(leader, isGuess',
+    search: 'await this.#promote(isAssumed ? null : leader, isAssumed',
+    replacement: 'await this.#promote(leader, isAssumed',
     testFile: DOUBTS,
     testName: 'leaving out a member that leaves',
   },
   {
     property: 'doubts: others tell who led',
     file: 'src/leadership/promotion.js',
-    search: '[lastLed, ...heard]',
+    search: '[lastLed, ...reported]',
     replacement: '[lastLed]',
     testFile: DOUBTS,
     testName: 'another daemon knows who led',
   },
   {
     property: 'doubts: who led another term proves nothing',
-    file: 'src/leadership/last-led.js',
+    file: 'src/leadership/last-leader.js',
     search: 'if (led?.term !== term)',
     replacement: 'if (led == null)',
     testFile: DOUBTS,
@@ -734,16 +734,17 @@
   {
     property: 'doubts: a daemon that started again is bounded since its start',
     file: 'src/leadership/order-outcomes.js',
-    search: 'const led = ledSince(heardAtMs - countedMs);',
-    replacement: 'const led = null;',
+    search:
+      'const leaderPosition = leaderPositionSince(earlierProcessesEndedMs(outcome, answeredAtMs - countedMs));',
+    replacement: 'const leaderPosition = null;',
     testFile: DOUBTS,
     testName: 'though a replica is silent',
   },
   {
     property: 'doubts: a daemon that started again is not bounded by what was before',
     file: 'src/leadership/order-outcomes.js',
-    search: 'ledSince(heardAtMs - countedMs)',
-    replacement: 'ledSince(0)',
+    search: 'leaderPositionSince(earlierProcessesEndedMs(outcome, answeredAtMs - countedMs))',
+    replacement: 'leaderPositionSince(0)',
     testFile: DOUBTS,
     testName: 'is not bounded by what the leader said before',
   },
@@ -766,7 +767,7 @@
   {
     property: 'calls: an earlier call is waited for',
     file: 'src/leadership/promotion.js',
-    search: 'openCalls.recordEarlier(call, heardAtMs);',
+    search: 'openCalls.recordEarlier(call, answeredAtMs);',
     replacement: ';',
     testFile: EARLIER_HOLDER,
     testName: 'nobody else is named',
@@ -790,7 +791,7 @@
   {
     property: 'calls: a leader with less is replaced',
     file: 'src/leadership/group-supervisor.js',
-    search: '!paused.every(({ received }) => hasReached(lead.status.received, received))',
+    search: '!paused.every(({ received }) => hasReached(leaderAnswer.status.received, received))',
     replacement: 'false',
     testFile: EARLIER_HOLDER,
     testName: 'a paused replica holds more',
@@ -814,23 +815,23 @@
   {
     property: 'reads: an answer that tells no life is of the leader',
     file: 'src/relay/read-runner.js',
-    search: '!tellsLife(after)',
+    search: '!isNonEmptyLog(after)',
     replacement: 'false',
     testFile: NEXT_LIFE,
     testName: 'answers no read',
   },
   {
     property: 'reads: an empty member says that it leads',
-    file: 'src/relay/lead-proof.js',
-    search: 'return leads && isStillLed(context, group, leader);',
+    file: 'src/relay/leader-identity.js',
+    search: 'return isLeader && isStillLeader(context, group, leader);',
     replacement: 'return true;',
     testFile: NEXT_LIFE,
     testName: 'answers no read',
   },
   {
     property: 'reads: nobody was promoted before an answer that tells no life',
-    file: 'src/relay/lead-proof.js',
-    search: 'if (!isStillLed(context, group, leader))',
+    file: 'src/relay/leader-identity.js',
+    search: 'if (!isStillLeader(context, group, leader))',
     replacement: 'if (false)',
     testFile: NEXT_LIFE,
     testName: 'when it may have been replaced',
@@ -838,7 +839,7 @@
   {
     property: 'reads: a transaction begins at the life that leads',
     file: 'src/relay/transaction.js',
-    search: 'return isLeaders ? null',
+    search: 'return isVerified ? null',
     replacement: 'return true ? null',
     testFile: NEXT_LIFE,
     testName: 'no read of a transaction',
@@ -862,24 +863,24 @@
   {
     property: 'promotions: but what the term began with is',
     file: 'src/leadership/promotion.js',
-    search: 'const doubted = this.#isLogOfTerm(looked.standing)',
-    replacement: 'const doubted = true',
+    search: 'const relevantUnanswered = this.#hasTermStart(rechecked.stillPaused)',
+    replacement: 'const relevantUnanswered = true',
     testFile: LEADER_NEXT_LIFE,
     testName: 'lack what the term began with',
   },
   {
     property: 'promotions: what a term began with is the word of its leader',
     file: 'src/topology/member-group.js',
-    search: 'noteReceived(position) {',
-    replacement: 'noteReceived(position) { this.#noteOpened(position);',
+    search: 'recordReplicaPosition(position) {',
+    replacement: 'recordReplicaPosition(position) { this.#recordTermStart(position);',
     testFile: LEADER_NEXT_LIFE,
     testName: 'known from a replica alone',
   },
   {
     property: 'ended daemons: bounded by what the leader told others since',
     file: 'src/leadership/order-outcomes.js',
-    search: 'const told = [...outcomes]',
-    replacement: 'const told = []',
+    search: 'const reported = [...outcomes]',
+    replacement: 'const reported = []',
     testFile: ENDED_DAEMON,
     testName: 'told another daemon after',
   },
@@ -893,16 +894,16 @@
   },
   {
     property: 'ended daemons: no process stood there unseen',
-    file: 'src/cluster/daemon-ends.js',
-    search: 'return beganMs - lastMs < UNSEEN_MS ? sinceMs : null;',
+    file: 'src/cluster/absence-tracker.js',
+    search: 'return beganMs - lastMs < MAX_REFUSAL_GAP_MS ? sinceMs : null;',
     replacement: 'return sinceMs;',
     testFile: ENDED_DAEMON,
     testName: 'began long after',
   },
   {
     property: 'ended daemons: refusals far apart are two absences',
-    file: 'src/cluster/daemon-ends.js',
-    search: 'nowMs - known.lastMs < UNSEEN_MS',
+    file: 'src/cluster/absence-tracker.js',
+    search: 'nowMs - known.lastMs < MAX_REFUSAL_GAP_MS',
     replacement: 'true',
     testFile: DAEMON_ENDS,
     testName: 'between two refusals',
@@ -910,7 +911,7 @@
   {
     property: 'ended daemons: an end is looked for when it comes',
     file: 'src/cluster/peer-mesh.js',
-    search: 'if (!this.#isClosedByUs)\n                    void this.#lookForEnd();',
+    search: 'if (!this.#isClosedByUs)\n                    void this.probeForEnd();',
     replacement: '',
     testFile: 'src/cluster/peer-mesh.test.js',
     testName: 'is seen when it comes',
@@ -918,7 +919,7 @@
   {
     property: 'ended daemons: the leader is asked where nobody else does',
     file: 'src/leadership/group-supervisor.js',
-    search: 'await this.#askLog();',
+    search: 'await this.#recordLogPosition();',
     replacement: ';',
     testFile: ENDED_DAEMON,
     testName: 'nobody else asks it',
@@ -933,8 +934,8 @@
   },
   {
     property: 'ended daemons: absences that lie apart are not joined',
-    file: 'src/cluster/daemon-ends.js',
-    search: 'later.sinceMs - earlier.lastMs < UNSEEN_MS',
+    file: 'src/cluster/absence-tracker.js',
+    search: 'later.sinceMs - earlier.lastMs < MAX_REFUSAL_GAP_MS',
     replacement: 'true',
     testFile: DAEMON_ENDS,
     testName: 'another daemon tells of',
@@ -958,7 +959,7 @@
   {
     property: 'ended daemons: one question covers a herd',
     file: 'src/leadership/group-supervisor.js',
-    search: 'if (this.#isBoundingEnds)',
+    search: 'if (this.#isQueryingLogPosition)',
     replacement: 'if (false)',
     testFile: ENDED_DAEMON,
     testName: 'where many have ended',
