--- a/test/mutation/mutations.ts
+++ b/test/mutation/mutations.ts
@@ -1,44 +1,47 @@
 /**
- * The mechanisms taken out one by one: each proof must fail without the mechanism that it is about.
+ * The mutations of the built program. Each removes one mechanism, and the test of that mechanism must then
+ * fail.
  *
  * @packageDocumentation
  */
 
-/** One mechanism taken out of the built program. */
+/** The removal of one mechanism from the built program. */
 export interface Mutation {
+  /** What the mechanism ensures. */
   readonly property: string;
-  /** File of the build, from its root. */
+  /** File to change, relative to the root of the build. */
   readonly file: string;
-  /** Text to replace; it must be there. */
+  /** Text whose first occurrence is replaced; the file must contain it. */
   readonly search: string;
   readonly replacement: string;
-  /** Test file and the pattern of the test names that must fail. */
+  /** Test file, relative to the root of the build. */
   readonly testFile: string;
+  /** Pattern of the names of the tests that must fail. */
   readonly testName: string;
 }
 
 const FAULTS = 'test/integration/faults-under-load.test.js';
 const ISOLATION = 'test/integration/isolation.test.js';
-const PAUSED = 'test/integration/paused-daemon.test.js';
+const PAUSED_DAEMON = 'test/integration/paused-daemon.test.js';
 const LEAVING = 'test/integration/leaving.test.js';
 const CONFIGURATION = 'test/integration/configuration.test.js';
 
 const TENANCY = 'src/tenancy/tenancy.test.js';
-const LIVES = 'src/topology/member-lives.property.test.js';
+const INCARNATIONS = 'src/topology/member-lives.property.test.js';
 const QUOTA = 'src/quota/quota.test.js';
 
-const LAST_MOMENT = 'src/leadership/promotion-final-check.test.js';
-const DOUBTS = 'src/leadership/promotion-after-restarts.test.js';
-const EARLIER_HOLDER = 'src/leadership/earlier-duty-holder.test.js';
-const PAST_LIVES = 'src/leadership/lost-incarnations.test.js';
-const REBORN_MEMBERS = 'src/leadership/promotion-member-restarts.test.js';
+const FINAL_CHECK = 'src/leadership/promotion-final-check.test.js';
+const PROMOTION_AFTER_RESTARTS = 'src/leadership/promotion-after-restarts.test.js';
+const EARLIER_DUTY_HOLDER = 'src/leadership/earlier-duty-holder.test.js';
+const LOST_INCARNATIONS = 'src/leadership/lost-incarnations.test.js';
+const PROMOTION_MEMBER_RESTARTS = 'src/leadership/promotion-member-restarts.test.js';
 const PROMOTION_TIME = 'src/leadership/promotion-time.test.js';
 const COMMIT_PROOF = 'src/relay/commit-proof.test.js';
-const REBORN = 'platform/test/reborn.test.js';
-const NEXT_LIFE = 'src/relay/restarted-leader.test.js';
+const MEMBER_RESTARTS = 'platform/test/reborn.test.js';
+const RESTARTED_LEADER = 'src/relay/restarted-leader.test.js';
 const ENDED_DAEMON = 'src/leadership/ended-daemon.test.js';
-const DAEMON_ENDS = 'src/cluster/absence-tracker.test.js';
-const LEADER_NEXT_LIFE = 'src/leadership/leader-restart.test.js';
+const ABSENCE_TRACKER = 'src/cluster/absence-tracker.test.js';
+const LEADER_RESTART = 'src/leadership/leader-restart.test.js';
 
 const FOREIGN_ENTRIES = 'platform/test/foreign-entries.test.js';
 const FOREIGN_KEYS = 'src/coordination/foreign-keys.test.js';
@@ -49,10 +52,9 @@
 const DIRECTORY = 'src/topology/member-directory.test.js';
 const LEASE_RENEWAL = 'src/tenancy/lease-renewal.test.js';
 
-/** All mutations. */
 export const MUTATIONS: readonly Mutation[] = [
   {
-    property: 'return of the store: revisions are compared with their era',
+    property: 'restored store: revisions are compared by era first',
     file: 'src/coordination/revision.js',
     search: 'left.era - right.era || left.number - right.number',
     replacement: 'left.number - right.number',
@@ -60,7 +62,7 @@
     testName: 'revisions are lower than those known',
   },
   {
-    property: 'return of the store: the soak sees that changes are taken',
+    property: 'restored store: the soak test detects rejected configuration changes',
     file: 'src/coordination/revision.js',
     search: 'left.era - right.era || left.number - right.number',
     replacement: 'left.number - right.number',
@@ -68,7 +70,7 @@
     testName: 'what was accepted stays in force',
   },
   {
-    property: 'return of the store: a watch of an earlier era is told to read everything',
+    property: 'restored store: a watch from an earlier era has to read everything again',
     file: 'platform/metadata-store.js',
     search: 'response.status === 410 || response.era !== after.era',
     replacement: 'response.status === 410',
@@ -76,7 +78,7 @@
     testName: 'tells a watch from an earlier era',
   },
   {
-    property: 'return of the store: a lease ends with its era',
+    property: 'restored store: a lease ends with its era',
     file: 'platform/metadata-store.js',
     search: 'response.status === 404 || response.era !== sentInEra',
     replacement: 'response.status === 404',
@@ -84,7 +86,7 @@
     testName: 'renews no lease of an earlier era',
   },
   {
-    property: 'duty: a holder that no record shows is waited for',
+    property: 'duty: a new holder waits for one whose record was never observed',
     file: 'src/coordination/duty-record.js',
     search: 'if (isNextFence || !isSameRevision',
     replacement: 'if (!isSameRevision',
@@ -92,7 +94,7 @@
     testName: 'is acted on by one at a time',
   },
   {
-    property: 'duty: a holder that let go may have had to wait itself',
+    property: 'duty: a new holder also waits as long as the one that released the duty had to',
     file: 'src/coordination/duty-record.js',
     search: 'Math.max(vanishedFreeMs, this.#holderActsFromMs)',
     replacement: 'vanishedFreeMs',
@@ -100,15 +102,15 @@
     testName: 'is acted on by one at a time',
   },
   {
-    property: 'return of the store: its word for the newest configuration is checked with other daemons',
+    property: 'restored store: the newest configuration is checked with other daemons',
     file: 'src/tenancy/lease-renewal.js',
     search: 'lease.observeVersion(version, now());',
-    replacement: '',
+    replacement: ';',
     testFile: LEASE_RENEWAL,
     testName: 'is not relied on while another daemon knows',
   },
   {
-    property: 'return of the store: a member that leaves has no more time',
+    property: 'restored store: the leave time of a member is not extended',
     file: 'src/topology/member-directory.js',
     search: 'if (this.#isSettled)\n            member.leavingSinceMs = null;',
     replacement: 'if (true)\n            member.leavingSinceMs = null;',
@@ -116,7 +118,7 @@
     testName: 'gives a member that leaves no more time',
   },
   {
-    property: 'entries: a member whose entry cannot be read is out of use',
+    property: 'entries: a member whose entry cannot be read receives no requests',
     file: 'platform/directory.js',
     search: 'this.directory.unreadable(memberId.value);',
     replacement: '',
@@ -124,7 +126,7 @@
     testName: 'no member to use until it is good again',
   },
   {
-    property: 'entries: a member that goes over to another service is out of use in the first',
+    property: 'entries: a member that moves to another service receives no requests of the first',
     file: 'platform/directory.js',
     search: 'if (isElsewhere)',
     replacement: 'if (false)',
@@ -132,7 +134,7 @@
     testName: 'goes over to another service',
   },
   {
-    property: 'entries: a start is a whole number',
+    property: 'entries: a start time is a whole number',
     file: 'platform/wire-schemas.js',
     search: 'born: z.optional(nonNegativeIntSchema)',
     replacement: 'born: z.optional(z.number())',
@@ -140,7 +142,7 @@
     testName: 'fractional start',
   },
   {
-    property: 'entries: a listener that throws keeps nobody from being told',
+    property: 'entries: a listener that throws does not keep others from being notified',
     file: 'src/coordination/watched-store.js',
     search: "this.#faults.report('listener_failed'",
     replacement: "throw error; this.#faults.report('listener_failed'",
@@ -148,7 +150,7 @@
     testName: 'listeners throw',
   },
   {
-    property: 'entries: the fence rises also where it cannot be read',
+    property: 'entries: the fence increases even if the last one cannot be read',
     file: 'src/coordination/duty-record.js',
     search: 'item?.revision.number ?? 0',
     replacement: '0',
@@ -156,7 +158,7 @@
     testName: 'neither it nor the record',
   },
   {
-    property: 'entries: nobody speaks for another daemon',
+    property: 'entries: a record under the name of another daemon is ignored',
     file: 'src/cluster/daemon-record.js',
     search: 'reading.value.name !== name',
     replacement: 'false',
@@ -164,7 +166,7 @@
     testName: 'the name of another daemon',
   },
   {
-    property: 'keys: a proof of a configuration that has not come renews nothing',
+    property: 'keys: a proof of a configuration that was not received does not renew the lease',
     file: 'src/tenancy/configuration-lease.js',
     search: 'if (proof.version > this.#heldVersion)',
     replacement: 'if (false)',
@@ -172,7 +174,7 @@
     testName: 'whatever is late, lost or handed on',
   },
   {
-    property: 'keys: the lease ends',
+    property: 'keys: the lease expires',
     file: 'src/tenancy/configuration-lease.js',
     search: 'nowMs - this.#heldProof.provenAtMs < this.boundMs - CLOCK_DRIFT_MARGIN_MS',
     replacement: 'true',
@@ -180,7 +182,7 @@
     testName: 'whatever is late, lost or handed on',
   },
   {
-    property: 'keys: a proof that is handed on keeps its age',
+    property: 'keys: a forwarded proof keeps its age',
     file: 'src/tenancy/configuration-lease.js',
     search: 'ageMs < this.boundMs ? { version: this.#latestProof.version, ageMs }',
     replacement: 'ageMs < this.boundMs ? { version: this.#latestProof.version, ageMs: 0 }',
@@ -188,7 +190,7 @@
     testName: 'whatever is late, lost or handed on',
   },
   {
-    property: 'keys: the moment of a proof is that before the question',
+    property: 'keys: the time of a proof is that before the request',
     file: 'src/tenancy/lease-renewal.js',
     search: 'provenAtMs: askedAtMs - ageMs',
     replacement: 'provenAtMs: now() - ageMs',
@@ -204,7 +206,7 @@
     testName: 'keys and tenants|ends open sessions and transactions',
   },
   {
-    property: 'tenants: connections are not handed on',
+    property: 'tenants: connections are not passed to another tenant',
     file: 'src/relay/link-pool.js',
     search: '(tenantName === null || link.tenantName === tenantName)',
     replacement: 'true',
@@ -212,7 +214,7 @@
     testName: 'never handed to another tenant',
   },
   {
-    property: 'quotas: grants end',
+    property: 'quotas: grants expire',
     file: 'src/quota/operation-quotas.js',
     search: '(account.grants[0] ?? 0) <= nowMs',
     replacement: 'false',
@@ -220,7 +222,7 @@
     testName: 'not used soon',
   },
   {
-    property: 'quotas: a stand-in begins with nothing',
+    property: 'quotas: a backup begins with an empty bucket',
     file: 'src/quota/quota-home.js',
     search: '`${share} ${home.name} ${home.life} ${tenantName}`, nowMs)',
     replacement: '`${share} ${home.name} ${home.life} ${tenantName}`, 0)',
@@ -236,7 +238,7 @@
     testName: 'was no home for a while',
   },
   {
-    property: 'read your writes: a request that arrives after its sender gave up is not begun',
+    property: 'read your writes: a request that arrives after its deadline is not started',
     file: 'src/peer/peer-server.js',
     search: '() => performance.now() < sender.waitsUntilMs',
     replacement: '() => true',
@@ -260,7 +262,7 @@
     testName: 'the owner, which alone knew',
   },
   {
-    property: 'no acknowledgement from a replaced primary: evidence',
+    property: 'no acknowledgement from a replaced primary: commit evidence',
     file: 'src/group/commit-evidence.js',
     search: 'const majority = majorityOf(this.memberCount);',
     replacement: "return 'confirmed';",
@@ -276,7 +278,7 @@
     testName: 'replicas behind',
   },
   {
-    property: 'whole answer to its own request: connections of overdue requests are ended',
+    property: 'each answer belongs to its request: connections of overdue requests are closed',
     file: 'src/engine/request-runner.js',
     search: "const { stream, sink } = execution;\n        stream.unpin('destroy');",
     replacement: "const { stream, sink } = execution;\n        stream.unpin('release');",
@@ -284,7 +286,7 @@
     testName: 'late answer',
   },
   {
-    property: 'not run is true: doubt after a lost attempt',
+    property: 'a request reported as not run did not run: the outcome of a lost attempt is indeterminate',
     file: 'src/engine/indeterminate-outcome-sink.js',
     search: "error.verdict === 'not_run' ? indeterminate(error) : error",
     replacement: 'error',
@@ -292,7 +294,7 @@
     testName: 'found no owner may have run',
   },
   {
-    property: 'once only: the key in the transaction of the write',
+    property: 'once-only keys: the key is inserted in the transaction of the write',
     file: 'src/engine/once-keys.js',
     search: 'return `INSERT INTO',
     replacement: "return 'SELECT 1'; `INSERT INTO",
@@ -300,7 +302,7 @@
     testName: 'one once-only key',
   },
   {
-    property: 'a leaving member gets no new work',
+    property: 'a leaving member receives no new requests',
     file: 'src/group/group-monitor.js',
     search: 'isLeaving: (status?.leaving ?? false) || this.options.isListedAsLeaving(address.memberId),',
     replacement: 'isLeaving: false,',
@@ -308,7 +310,7 @@
     testName: 'machine list says',
   },
   {
-    property: 'a planned stop cuts nothing: drain',
+    property: 'a planned stop interrupts no request: drain',
     file: 'src/daemon/daemon.js',
     search: 'const { drainTimeoutMs } = this.settings.timing;',
     replacement: 'const drainTimeoutMs = 1;',
@@ -328,15 +330,15 @@
     file: 'src/member/member-monitor.js',
     search: 'await this.#query(connection, FENCE_STATEMENT);',
     replacement: '',
-    testFile: PAUSED,
+    testFile: PAUSED_DAEMON,
     testName: 'connections of a paused owner',
   },
   {
-    property: 'transactions stay together: a lost one is not continued',
+    property: 'transactions stay together: a lost transaction is not continued',
     file: 'src/engine/database-engine.js',
     search: "if (request.continues !== 'nothing' && stream.pinned === null) {",
     replacement: 'if (false) {',
-    testFile: PAUSED,
+    testFile: PAUSED_DAEMON,
     testName: 'not continued outside',
   },
   {
@@ -344,51 +346,51 @@
     file: 'src/entry/client-connection.js',
     search: 'if (this.options.mayInputPredatePause()) {',
     replacement: 'if (false) {',
-    testFile: PAUSED,
+    testFile: PAUSED_DAEMON,
     testName: 'waited in a paused daemon',
   },
   {
-    property: 'lives: an older life that is told late changes nothing',
+    property: 'incarnations: an earlier one that is reported late changes nothing',
     file: 'src/topology/incarnation.js',
     search: "? 'younger' : 'older'",
     replacement: "? 'younger' : 'same'",
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: a younger start is another member',
+    property: 'incarnations: a later start time is another member',
     file: 'src/topology/incarnation.js',
     search: "? 'younger' : 'older'",
     replacement: "? 'same' : 'older'",
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: connections in use end with the life',
+    property: 'incarnations: connections in use are closed with the incarnation',
     file: 'src/topology/member-directory.js',
     search: 'member.pool.end();',
     replacement: 'member.pool.ownPool.close();',
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: who holds a member learns that its life has ended',
+    property: 'incarnations: an ended member is marked as such for its users',
     file: 'src/topology/member-directory.js',
     search: 'member.hasEnded = true;',
     replacement: '',
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: a life that ended is kept in mind',
+    property: 'incarnations: an ended one is retained',
     file: 'src/topology/member-directory.js',
     search: 'member.missingSinceMs = this.options.now();\n            this.#closeConnections(member);',
     replacement: 'group.removeFormer(member);\n            this.#closeConnections(member);',
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: what was unlisted is remembered',
+    property: 'incarnations: an unlisted one is retained',
     file: 'src/topology/member-directory.js',
     search: 'this.options.now() - unlistedSinceMs < FORMER_RETENTION_MS',
     replacement: 'false',
@@ -396,31 +398,31 @@
     testName: 'where nobody watches the group',
   },
   {
-    property: 'lives: the lead of an earlier life ends',
+    property: 'incarnations: the leadership of an earlier one ends',
     file: 'src/topology/member-directory.js',
     search: 'if (group.evidence.leader?.memberId !== memberId)\n            return;',
     replacement: 'return;',
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: a retired life does not stand in the way of the next',
+    property: 'incarnations: a retired one does not block the next',
     file: 'src/topology/member-directory.js',
     search: 'isReadable: true, isRetired: false };',
     replacement: 'isReadable: true, isRetired: this.#known.get(entry.memberId)?.isRetired ?? false };',
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: a former member that comes back keeps its connections',
+    property: 'incarnations: the pool of a former member that returns is reopened',
     file: 'src/topology/member-directory.js',
     search: 'member.pool.ownPool.reopen();',
     replacement: '',
-    testFile: LIVES,
+    testFile: INCARNATIONS,
     testName: 'one living member at most',
   },
   {
-    property: 'lives: a pool that has ended tells of no trouble',
+    property: 'incarnations: an ended pool reports no failures',
     file: 'src/relay/link-pool.js',
     search: 'if (this.#hasEnded)\n            return;',
     replacement: '',
@@ -428,7 +430,7 @@
     testName: 'tells those who wait',
   },
   {
-    property: 'lives: trouble of an ended life is not that of the next',
+    property: 'incarnations: a failure of an ended one raises no suspicion of the next',
     file: 'src/relay/failure-detector.js',
     search: 'if (member.hasEnded)\n            return;',
     replacement: '',
@@ -436,7 +438,7 @@
     testName: 'says nothing of the next one',
   },
   {
-    property: 'lives: an ended life is asked nothing',
+    property: 'incarnations: an ended one is sent no requests',
     file: 'src/leadership/member-control.js',
     search: 'if (member.hasEnded)\n            return REFUSED;',
     replacement: '',
@@ -444,7 +446,7 @@
     testName: 'is asked nothing',
   },
   {
-    property: 'lives: an answer that comes after the end of a life says nothing',
+    property: 'incarnations: an answer that arrives after the end is ignored',
     file: 'src/leadership/member-control.js',
     search: 'return member.hasEnded ? REFUSED : answer;',
     replacement: 'return answer;',
@@ -452,7 +454,7 @@
     testName: 'has said nothing',
   },
   {
-    property: 'lives: an own connection that is being opened is not left to the next life',
+    property: 'incarnations: a connection being opened is not left to the next',
     file: 'src/leadership/member-control.js',
     search: 'this.#dials.delete(memberId);\n        this.#endOwnLink',
     replacement: 'this.#endOwnLink',
@@ -460,7 +462,7 @@
     testName: 'leaves no own connection',
   },
   {
-    property: 'lives: loans of an ended life end',
+    property: 'incarnations: loans of an ended one end',
     file: 'src/gateway/loan.js',
     search: 'this.options.pool === pool && this.#link !== null',
     replacement: 'false',
@@ -468,7 +470,7 @@
     testName: 'before its next request',
   },
   {
-    property: 'lives: a borrower ends its loans',
+    property: 'incarnations: a borrower ends its loans',
     file: 'src/gateway/member-connections.js',
     search: 'for (const link of [...this.#borrowed])',
     replacement: 'for (const link of [])',
@@ -476,7 +478,7 @@
     testName: 'ends its loans',
   },
   {
-    property: 'lives: assignments follow the entry',
+    property: 'incarnations: gateway assignments follow the entry',
     file: 'src/gateway/assignments.js',
     search: 'hasSameAssignmentInputs(cached.entry, entry)',
     replacement: 'true',
@@ -484,7 +486,7 @@
     testName: 'assigned anew',
   },
   {
-    property: 'promotions: every daemon says its last word',
+    property: 'promotions: every daemon is sent the seal order',
     file: 'src/leadership/promotion.js',
     search: "await options.order(this.#order('seal'), ORDER_TIMEOUT_MS, { except: unanswered })",
     replacement: 'new Map()',
@@ -492,43 +494,43 @@
     testName: 'does not keep a replica from the lead',
   },
   {
-    property: 'promotions: a replica that is silent at the last look is missing',
+    property: 'promotions: a replica that does not answer the final check is missing',
     file: 'src/leadership/replica-pauses.js',
     search: 'return void unanswered.push(this.#toMissing(member, reason));',
     replacement: 'return void stillPaused.push(paused[index]);',
-    testFile: LAST_MOMENT,
+    testFile: FINAL_CHECK,
     testName: 'silent at the last look',
   },
   {
-    property: 'promotions: a replica that has appeared is paused before the last look',
+    property: 'promotions: a replica that has appeared is paused before the final check',
     file: 'src/leadership/promotion.js',
     search: 'const late = await this.#pause(unknown, pauses.paused);',
     replacement: 'const late = { paused: [], missing: [], ended: [] };',
-    testFile: LAST_MOMENT,
+    testFile: FINAL_CHECK,
     testName: 'appears before the last look',
   },
   {
-    property: 'promotions: replicas stay paused while the platform acts',
+    property: 'promotions: replicas stay paused while the platform promotes',
     file: 'src/leadership/appointment.js',
     search: 'ports.enforcePauses();',
     replacement: '',
-    testFile: LAST_MOMENT,
+    testFile: FINAL_CHECK,
     testName: 'appears while the platform acts',
   },
   {
-    property: 'promotions: what was said before the last word is no limit',
+    property: 'promotions: an answer from before the seal order is no limit',
     file: 'src/leadership/promotion.js',
     search: 'withoutLimit(outcome)',
     replacement: 'outcome',
-    testFile: LAST_MOMENT,
+    testFile: FINAL_CHECK,
     testName: 'no limit of what',
   },
   {
     property: 'promotions: late pauses are waited out',
     file: 'src/leadership/promotion.js',
     search: 'await this.#waitForLatePause();',
-    replacement: '',
-    testFile: LAST_MOMENT,
+    replacement: ';',
+    testFile: FINAL_CHECK,
     testName: 'waited for again',
   },
   {
@@ -536,39 +538,39 @@
     file: 'src/leadership/promotion.js',
     search: 'return group.evidence.minimumTerm > this.#term;',
     replacement: 'return false;',
-    testFile: LAST_MOMENT,
+    testFile: FINAL_CHECK,
     testName: 'promoted over by nobody',
   },
   {
-    property: 'promotions: a shorter log is a lost life',
+    property: 'promotions: a shorter log is a lost incarnation',
     file: 'src/leadership/lost-incarnations.js',
     search: 'return isEmpty(received) || term <= known.term;',
     replacement: 'return isEmpty(received);',
-    testFile: PAST_LIVES,
+    testFile: LOST_INCARNATIONS,
     testName: 'though it is not empty',
   },
   {
-    property: 'promotions: a lost life is covered',
+    property: 'promotions: a lost incarnation is covered by the position of the leader',
     file: 'src/leadership/lost-incarnations.js',
     search: 'loss.limit ??= position;',
     replacement: ';',
-    testFile: PAST_LIVES,
+    testFile: LOST_INCARNATIONS,
     testName: 'is covered by a replica',
   },
   {
-    property: 'promotions: a step down below what is known bounds nothing',
+    property: 'promotions: a step-down position below what was acknowledged is no bound',
     file: 'src/leadership/step-downs.js',
     search: '!hasReached(this.#last.held, reported.latest)',
     replacement: 'false',
-    testFile: PAST_LIVES,
+    testFile: LOST_INCARNATIONS,
     testName: 'it is another life',
   },
   {
-    property: 'promotions: a call that is open is outwaited',
+    property: 'promotions: an open call is waited for',
     file: 'src/leadership/promotion.js',
     search: 'await this.#awaitOpenCalls();',
     replacement: '',
-    testFile: REBORN_MEMBERS,
+    testFile: PROMOTION_MEMBER_RESTARTS,
     testName: 'a second time keeps',
   },
   {
@@ -588,7 +590,7 @@
     testName: 'bounds what was acknowledged',
   },
   {
-    property: 'promotions: a member that leads with less than it had is told apart',
+    property: 'promotions: a member that leads with less than it had is detected',
     file: 'src/leadership/appointment.js',
     search: "? 'leads' : 'lacks'",
     replacement: "? 'leads' : 'leads'",
@@ -600,23 +602,23 @@
     file: 'src/leadership/promotion.js',
     search: 'if (isReplaced) {',
     replacement: 'if (false) {',
-    testFile: REBORN_MEMBERS,
+    testFile: PROMOTION_MEMBER_RESTARTS,
     testName: 'taken from another replica',
   },
   {
-    property: 'lost lives: an empty log is one',
+    property: 'lost incarnations: an empty log shows one',
     file: 'src/leadership/lost-incarnations.js',
     search: 'return isEmpty(received);',
     replacement: 'return false;',
-    testFile: REBORN_MEMBERS,
+    testFile: PROMOTION_MEMBER_RESTARTS,
     testName: 'only replica that had a commit',
   },
   {
-    property: 'lost lives: one is missing',
+    property: 'lost incarnations: one counts as missing',
     file: 'src/leadership/replica-pauses.js',
     search: ', ...this.lost.uncovered(received, leaderId, this.now())]',
     replacement: ']',
-    testFile: REBORN_MEMBERS,
+    testFile: PROMOTION_MEMBER_RESTARTS,
     testName: 'only replica that had a commit',
   },
   {
@@ -628,7 +630,7 @@
     testName: 'is in doubt',
   },
   {
-    property: 'commits: an answer without evidence waits for it',
+    property: 'commits: an answer without evidence waits until there is some',
     file: 'src/relay/commit-proof.js',
     search: 'let standing = group.acknowledge(position, answeredAtMs);',
     replacement: "let standing = 'proven';",
@@ -636,7 +638,7 @@
     testName: 'once there is evidence again',
   },
   {
-    property: 'commits: evidence holds at the answer',
+    property: 'commits: evidence has to be valid at the time of the answer',
     file: 'src/leadership/leadership-evidence.js',
     search: 'if (this.#leader?.term === term && nowMs < this.#validUntilMs)',
     replacement: 'if (this.#leader?.term === term)',
@@ -644,7 +646,7 @@
     testName: 'evidence at the time of its answer',
   },
   {
-    property: 'commits: nothing is acknowledged after the last word',
+    property: 'commits: nothing is acknowledged after the reply to the seal order',
     file: 'src/leadership/leadership-evidence.js',
     search: 'this.#revocationGrace = null;',
     replacement: '',
@@ -652,7 +654,7 @@
     testName: 'after its last word',
   },
   {
-    property: 'commits: the answer to a write is proven',
+    property: 'commits: the answer to a write requires evidence',
     file: 'src/relay/write-runner.js',
     search: 'if (!(await proveCommit(context, { ...job, position })))',
     replacement: 'if (false)',
@@ -660,11 +662,11 @@
     testName: 'after a promotion was told',
   },
   {
-    property: 'commits: the answer to a COMMIT is proven',
+    property: 'commits: the answer to a COMMIT requires evidence',
     file: 'src/relay/transaction.js',
     search: 'await this.#prove(step, reply);',
     replacement: 'void 0;',
-    testFile: REBORN,
+    testFile: MEMBER_RESTARTS,
     testName: 'a replica that starts anew receives it',
   },
   {
@@ -672,92 +674,92 @@
     file: 'src/relay/read-runner.js',
     search: 'asLeader ? job.group.leaderPosition : ',
     replacement: 'asLeader ? null : ',
-    testFile: REBORN,
+    testFile: MEMBER_RESTARTS,
     testName: 'not read from as if it led',
   },
   {
-    property: 'doubts: lives that have ended count no more once the leader is heard',
+    property: 'promotions after restarts: ended incarnations are not missing once the leader answers',
     file: 'src/leadership/promotion.js',
     search: 'if (respondingIds.has(led.memberId))',
     replacement: 'if (false)',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'once all members answer',
   },
   {
-    property: 'doubts: a leader that is down is waited for',
+    property: 'promotions after restarts: a leader that is down is waited for',
     file: 'src/leadership/promotion.js',
     search: 'return !isForgotten && !leaderLoss.isOver(led, options.now());',
     replacement: 'return false;',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'are missing while the leader is down',
   },
   {
-    property: 'doubts: there is one wait for the group',
+    property: 'promotions after restarts: there is one wait for each group',
     file: 'src/leadership/promotion.js',
     search: '!leaderLoss.isOver(led, options.now())',
     replacement: 'true',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'does not keep the group without a leader',
   },
   {
-    property: 'doubts: a life that has ended is settled by its next one',
+    property: 'promotions after restarts: an ended incarnation is missing until the next one answers',
     file: 'src/leadership/promotion.js',
     search: ': ended.filter(({ memberId }) => !respondingIds.has(memberId))',
     replacement: ': []',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'next life has not been looked at',
   },
   {
-    property: 'doubts: nobody is left out for standing first',
+    property: 'promotions after restarts: a member that is only assumed to lead is not excluded',
     file: 'src/leadership/group-supervisor.js',
     search: 'await this.#promote(isAssumed ? null : leader, isAssumed',
     replacement: 'await this.#promote(leader, isAssumed',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'leaving out a member that leaves',
   },
   {
-    property: 'doubts: others tell who led',
+    property: 'promotions after restarts: other daemons report who led',
     file: 'src/leadership/promotion.js',
     search: '[lastLed, ...reported]',
     replacement: '[lastLed]',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'another daemon knows who led',
   },
   {
-    property: 'doubts: who led another term proves nothing',
+    property: 'promotions after restarts: the leader of another term proves nothing',
     file: 'src/leadership/last-leader.js',
     search: 'if (led?.term !== term)',
     replacement: 'if (led == null)',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'nobody knows who led',
   },
   {
-    property: 'doubts: a daemon that started again is bounded since its start',
+    property: 'promotions after restarts: a restarted daemon is bounded by later leader positions',
     file: 'src/leadership/order-outcomes.js',
     search:
       'const leaderPosition = leaderPositionSince(earlierProcessesEndedMs(outcome, answeredAtMs - countedMs));',
     replacement: 'const leaderPosition = null;',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'though a replica is silent',
   },
   {
-    property: 'doubts: a daemon that started again is not bounded by what was before',
+    property: 'promotions after restarts: a restarted daemon is not bounded by earlier leader positions',
     file: 'src/leadership/order-outcomes.js',
     search: 'leaderPositionSince(earlierProcessesEndedMs(outcome, answeredAtMs - countedMs))',
     replacement: 'leaderPositionSince(0)',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'is not bounded by what the leader said before',
   },
   {
-    property: 'doubts: a life that ended while the leader led is noted',
+    property: 'promotions after restarts: a member that ended during leadership is recorded',
     file: 'src/leadership/group-supervisor.js',
     search: '...unlisted.filter((member) => member !== leader)',
     replacement: '',
-    testFile: DOUBTS,
+    testFile: PROMOTION_AFTER_RESTARTS,
     testName: 'listed no more, while the leader led',
   },
   {
-    property: 'evidence: a witness has been known for long enough',
+    property: 'evidence: a witness has to be known for a minimum time',
     file: 'src/leadership/leadership-watcher.js',
     search: 'return askedAtMs >= knownSinceMs + WITNESS_KNOWN_MS;',
     replacement: 'return true;',
@@ -769,115 +771,116 @@
     file: 'src/leadership/promotion.js',
     search: 'openCalls.recordEarlier(call, answeredAtMs);',
     replacement: ';',
-    testFile: EARLIER_HOLDER,
+    testFile: EARLIER_DUTY_HOLDER,
     testName: 'nobody else is named',
   },
   {
-    property: 'calls: those of the present holder are not',
+    property: 'calls: those of the current holder are not waited for',
     file: 'src/leadership/promotion.js',
     search: 'call.fence !== fence',
     replacement: 'true',
-    testFile: EARLIER_HOLDER,
+    testFile: EARLIER_DUTY_HOLDER,
     testName: 'of the present holder',
   },
   {
-    property: 'calls: a leader that an earlier call made leads on',
+    property: 'calls: a leader that an earlier call promoted is kept',
     file: 'src/leadership/group-supervisor.js',
     search: 'if (call?.memberId !== leader.entry.memberId)',
     replacement: 'if (true)',
-    testFile: EARLIER_HOLDER,
+    testFile: EARLIER_DUTY_HOLDER,
     testName: 'leads on',
   },
   {
-    property: 'calls: a leader with less is replaced',
+    property: 'calls: a leader with less than a paused replica is replaced',
     file: 'src/leadership/group-supervisor.js',
     search: '!paused.every(({ received }) => hasReached(leaderAnswer.status.received, received))',
     replacement: 'false',
-    testFile: EARLIER_HOLDER,
+    testFile: EARLIER_DUTY_HOLDER,
     testName: 'a paused replica holds more',
   },
   {
-    property: 'calls: daemons are told of a call before it is made',
+    property: 'calls: daemons are informed of a call before it is made',
     file: 'src/leadership/promotion.js',
     search: 'return { call: { ...call, leftMs: Math.max(0, untilMs - this.ports.options.now()) } };',
     replacement: 'return {};',
-    testFile: REBORN,
+    testFile: MEMBER_RESTARTS,
     testName: 'waits for the call of the last one',
   },
   {
-    property: 'promotions: the next life of the named member is followed',
+    property: 'promotions: the next incarnation of the successor is asked',
     file: 'src/leadership/promotion.js',
     search: 'group.members.get(memberId) ?? member',
     replacement: 'member',
-    testFile: REBORN,
+    testFile: MEMBER_RESTARTS,
     testName: 'is replaced at once',
   },
   {
-    property: 'reads: an answer that tells no life is of the leader',
+    property: 'reads: an answer with an empty log has to come from the leader',
     file: 'src/relay/read-runner.js',
     search: '!isNonEmptyLog(after)',
     replacement: 'false',
-    testFile: NEXT_LIFE,
+    testFile: RESTARTED_LEADER,
     testName: 'answers no read',
   },
   {
-    property: 'reads: an empty member says that it leads',
+    property: 'reads: a member with an empty log has to report that it leads',
     file: 'src/relay/leader-identity.js',
     search: 'return isLeader && isStillLeader(context, group, leader);',
     replacement: 'return true;',
-    testFile: NEXT_LIFE,
+    testFile: RESTARTED_LEADER,
     testName: 'answers no read',
   },
   {
-    property: 'reads: nobody was promoted before an answer that tells no life',
+    property: 'reads: the leader must not have been replaced before an answer with an empty log',
     file: 'src/relay/leader-identity.js',
     search: 'if (!isStillLeader(context, group, leader))',
     replacement: 'if (false)',
-    testFile: NEXT_LIFE,
+    testFile: RESTARTED_LEADER,
     testName: 'when it may have been replaced',
   },
   {
-    property: 'reads: a transaction begins at the life that leads',
+    property: 'reads: a transaction begins at the incarnation that leads',
     file: 'src/relay/transaction.js',
     search: 'return isVerified ? null',
     replacement: 'return true ? null',
-    testFile: NEXT_LIFE,
+    testFile: RESTARTED_LEADER,
     testName: 'no read of a transaction',
   },
   {
-    property: 'floors: of the present leader',
+    property: 'floors: only the current leader reports them',
     file: 'src/topology/member-group.js',
     search: 'if (leader?.memberId !== believed?.memberId || leader?.term !== believed?.term)',
     replacement: 'if (false)',
-    testFile: NEXT_LIFE,
+    testFile: RESTARTED_LEADER,
     testName: 'no floor once another leads',
   },
   {
-    property: 'promotions: the next life of the leader is not waited for',
+    property: 'promotions: the next incarnation of the leader is not waited for',
     file: 'src/leadership/promotion.js',
     search: 'return bornMs > led.bornMs;',
     replacement: 'return false;',
-    testFile: LEADER_NEXT_LIFE,
+    testFile: LEADER_RESTART,
     testName: 'is not waited for',
   },
   {
-    property: 'promotions: but what the term began with is',
+    property:
+      'promotions: the next incarnation of the leader is waited for while the log at the start of the term is missing',
     file: 'src/leadership/promotion.js',
     search: 'const relevantUnanswered = this.#hasTermStart(rechecked.stillPaused)',
     replacement: 'const relevantUnanswered = true',
-    testFile: LEADER_NEXT_LIFE,
+    testFile: LEADER_RESTART,
     testName: 'lack what the term began with',
   },
   {
-    property: 'promotions: what a term began with is the word of its leader',
+    property: 'promotions: only the leader reports the log at the start of its term',
     file: 'src/topology/member-group.js',
     search: 'recordReplicaPosition(position) {',
     replacement: 'recordReplicaPosition(position) { this.#recordTermStart(position);',
-    testFile: LEADER_NEXT_LIFE,
+    testFile: LEADER_RESTART,
     testName: 'known from a replica alone',
   },
   {
-    property: 'ended daemons: bounded by what the leader told others since',
+    property: 'ended daemons: bounded by leader positions that others report',
     file: 'src/leadership/order-outcomes.js',
     search: 'const reported = [...outcomes]',
     replacement: 'const reported = []',
@@ -885,7 +888,7 @@
     testName: 'told another daemon after',
   },
   {
-    property: 'ended daemons: not by what it told before',
+    property: 'ended daemons: not bounded by earlier leader positions',
     file: 'src/leadership/order-outcomes.js',
     search: 'askedAtMs - ageMs >= ms',
     replacement: 'true',
@@ -893,7 +896,7 @@
     testName: 'told before',
   },
   {
-    property: 'ended daemons: no process stood there unseen',
+    property: 'ended daemons: no process ran there undetected',
     file: 'src/cluster/absence-tracker.js',
     search: 'return beganMs - lastMs < MAX_REFUSAL_GAP_MS ? sinceMs : null;',
     replacement: 'return sinceMs;',
@@ -905,11 +908,11 @@
     file: 'src/cluster/absence-tracker.js',
     search: 'nowMs - known.lastMs < MAX_REFUSAL_GAP_MS',
     replacement: 'true',
-    testFile: DAEMON_ENDS,
+    testFile: ABSENCE_TRACKER,
     testName: 'between two refusals',
   },
   {
-    property: 'ended daemons: an end is looked for when it comes',
+    property: 'ended daemons: an end is probed for at once',
     file: 'src/cluster/peer-mesh.js',
     search: 'if (!this.#isClosedByUs)\n                    void this.probeForEnd();',
     replacement: '',
@@ -917,7 +920,7 @@
     testName: 'is seen when it comes',
   },
   {
-    property: 'ended daemons: the leader is asked where nobody else does',
+    property: 'ended daemons: the leader is asked for its position if nobody else asks',
     file: 'src/leadership/group-supervisor.js',
     search: 'await this.#recordLogPosition();',
     replacement: ';',
@@ -925,7 +928,7 @@
     testName: 'nobody else asks it',
   },
   {
-    property: 'ended daemons: the next holder is told of ends',
+    property: 'ended daemons: absences are reported to the next holder',
     file: 'src/cluster/peer-mesh.js',
     search: 'return absences.length === 0 ? {} : { absences };',
     replacement: 'return {};',
@@ -933,15 +936,15 @@
     testName: 'hears of the ends',
   },
   {
-    property: 'ended daemons: absences that lie apart are not joined',
+    property: 'ended daemons: absences that are far apart are not joined',
     file: 'src/cluster/absence-tracker.js',
     search: 'later.sinceMs - earlier.lastMs < MAX_REFUSAL_GAP_MS',
     replacement: 'true',
-    testFile: DAEMON_ENDS,
+    testFile: ABSENCE_TRACKER,
     testName: 'another daemon tells of',
   },
   {
-    property: 'ended daemons: only one that gave orders has left as a holder',
+    property: 'ended daemons: only a daemon that has sent orders counts as a holder',
     file: 'src/cluster/peer-mesh.js',
     search: 'if (hasOrdered && !this.#isClosed)',
     replacement: 'if (!this.#isClosed)',
@@ -949,7 +952,7 @@
     testName: 'only looked whether another stands',
   },
   {
-    property: 'ended daemons: the end of a holder is told',
+    property: 'ended daemons: the end of a holder is reported',
     file: 'src/cluster/peer-mesh.js',
     search: 'if (hasOrdered && !this.#isClosed)',
     replacement: 'if (false)',
@@ -957,7 +960,7 @@
     testName: 'end of the holder is seen',
   },
   {
-    property: 'ended daemons: one question covers a herd',
+    property: 'ended daemons: one query covers many exits',
     file: 'src/leadership/group-supervisor.js',
     search: 'if (this.#isQueryingLogPosition)',
     replacement: 'if (false)',
--- a/test/mutation/run-mutations.ts
+++ b/test/mutation/run-mutations.ts
@@ -1,8 +1,8 @@
 /**
- * Runs each proof against a build without the mechanism that it is about, and expects it to fail.
+ * Applies each mutation to a copy of the build, runs the test of the removed mechanism and expects it to fail.
  *
- * `node dist/test/mutation/run-mutations.js [pattern of properties]`; not part of the tests, since a proof
- * that fails takes long.
+ * `node dist/test/mutation/run-mutations.js [pattern of properties]`; not part of the test suite, since a
+ * failing test may take minutes.
  *
  * @packageDocumentation
  */
@@ -14,7 +14,7 @@
 const MUTATED_BUILD = 'dist-mutated';
 const TIMEOUT_MS = 240_000;
 
-/** True when the proof failed, as it must. */
+/** Returns true when the test failed, as it must. */
 function runMutation(mutation: Mutation): boolean {
   rmSync(MUTATED_BUILD, { recursive: true, force: true });
   cpSync('dist', MUTATED_BUILD, { recursive: true });
