--- a/src/leadership/promotion-after-restarts.test.ts
+++ b/src/leadership/promotion-after-restarts.test.ts
@@ -191,7 +191,7 @@
     fixture.orderOutcomes.set('d2', DAEMON_GONE);
     restartMember(fixture, 'old', 'nothing');
     let isReplaced = false;
-    Object.defineProperty(fixture.member('two'), 'statuses', {
+    Object.defineProperty(fixture.member('two'), 'statusRequestCount', {
       get: () => 0,
       set: () => {
         if (isReplaced || !fixture.events.includes('seal')) return;
