--- a/src/leadership/replica-pauses.ts
+++ b/src/leadership/replica-pauses.ts
@@ -174,7 +174,7 @@
     });
     const received = stillPaused.map(({ status }) => status.received);
     const ended = [...replaced, ...this.lost.uncovered(received, leaderId, this.now())];
-    return { stillPaused: stillPaused, unpaused: unpaused, missing: unanswered, ended };
+    return { stillPaused, unpaused, missing: unanswered, ended };
   }
 
   #toMissing({ entry, answeredAtMs }: Member, reason: string): MissingIncarnation {
--- a/src/quota/quota-service.ts
+++ b/src/quota/quota-service.ts
@@ -44,7 +44,7 @@
   #lastDepartureMs: number;
 
   constructor(private readonly options: QuotaServiceOptions) {
-    const { ownName, findTenant: findTenant, hasProcessEnded: hasProcessEnded, now, random } = options;
+    const { ownName, findTenant, hasProcessEnded, now, random } = options;
     const requestGrant = this.#requestGrant.bind(this);
     this.#lastDepartureMs = now();
     const homeAndBackup = (tenantName: string): readonly DaemonRecord[] => this.#homeAndBackupOf(tenantName);
--- a/src/tenancy/lease-renewal.ts
+++ b/src/tenancy/lease-renewal.ts
@@ -196,7 +196,7 @@
   }
 
   async #renewFromDaemon(record: DaemonRecord): Promise<'renewed' | 'no_proof' | 'silent'> {
-    const { lease, requestConfiguration: requestConfiguration, now } = this.options;
+    const { lease, requestConfiguration, now } = this.options;
     const askedAtMs = now();
     const answer = await requestConfiguration(record, lease.heldVersion, DAEMON_TIMEOUT_MS);
     if (answer === null) return 'silent';
--- a/standin/rig/fault-proxy.ts
+++ b/standin/rig/fault-proxy.ts
@@ -94,7 +94,7 @@
       this.#deliver(payload);
       return;
     }
-    this.#queue.push({ payload: payload, dueMs: performance.now() + delayMs });
+    this.#queue.push({ payload, dueMs: performance.now() + delayMs });
     this.pump();
   }
 
